--- a/crates/jb-daemon/src/claims.rs
+++ b/crates/jb-daemon/src/claims.rs
@@ -9,7 +9,7 @@
 
 use jb_platform::port::Swap;
 use jb_platform::{Error, Platform};
-use jb_policy::claim::{self, Plan, Shard, Verdict, Wish};
+use jb_policy::idempotency::{self, Decision, Plan, Reservation, Shard};
 use jb_protocol::event;
 use slog::Logger;
 use tokio::sync::{mpsc, oneshot};
@@ -31,8 +31,8 @@
 pub struct Unavailable;
 
 struct Waiting {
-    wish: Wish,
-    reply: oneshot::Sender<Result<Verdict, Unavailable>>,
+    wish: Reservation,
+    reply: oneshot::Sender<Result<Decision, Unavailable>>,
 }
 
 /// Sending end of the ring to the claims.
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     /// [`Unavailable`] when no verdict could be had.
-    pub async fn claim(&self, wish: Wish) -> Result<Verdict, Unavailable> {
+    pub async fn claim(&self, wish: Reservation) -> Result<Decision, Unavailable> {
         let (reply, answer) = oneshot::channel();
         self.sender
             .try_send(Waiting { wish, reply })
@@ -73,7 +73,7 @@
         let mut shards: BTreeMap<u32, Vec<Waiting>> = BTreeMap::new();
         for waiting in batch.drain(..) {
             shards
-                .entry(claim::shard_of(waiting.wish.key))
+                .entry(idempotency::shard_of(waiting.wish.key))
                 .or_default()
                 .push(waiting);
         }
@@ -85,7 +85,7 @@
 }
 
 async fn settle(shard: u32, waiting: Vec<Waiting>, platform: &dyn Platform, logger: &Logger) {
-    let wishes: Vec<Wish> = waiting.iter().map(|w| w.wish).collect();
+    let wishes: Vec<Reservation> = waiting.iter().map(|w| w.wish).collect();
     let result = write(shard, &wishes, platform).await;
     if let Err(error) = &result {
         emit!(logger, warn, event::CLAIM_FAILED, "shard" => shard, "why" => error.to_string());
@@ -106,8 +106,8 @@
 }
 
 /// Reads the shard, plans, and writes, until one write is known to hold.
-async fn write(shard: u32, wishes: &[Wish], platform: &dyn Platform) -> Result<Vec<Verdict>, Error> {
-    let key = claim::document(shard);
+async fn write(shard: u32, wishes: &[Reservation], platform: &dyn Platform) -> Result<Vec<Decision>, Error> {
+    let key = idempotency::document_name(shard);
     let mut last = Error::Unknown("not tried".to_owned());
     for _ in 0..TRIES {
         match write_once(&key, wishes, platform).await {
@@ -121,14 +121,17 @@
 
 async fn write_once(
     key: &str,
-    wishes: &[Wish],
+    wishes: &[Reservation],
     platform: &dyn Platform,
-) -> Result<Option<Vec<Verdict>>, Error> {
+) -> Result<Option<Vec<Decision>>, Error> {
     let value = platform.get(key).await?;
     let version = value.as_ref().map_or(0, |v| v.version);
     let body = value.map(|v| v.body).unwrap_or_default();
     let shard = Shard::decode(&body).map_err(|e| Error::Protocol(e.to_string()))?;
-    let Plan { verdicts, write } = shard.plan(wishes, clock::wall_s());
+    let Plan {
+        decisions: verdicts,
+        write,
+    } = shard.plan(wishes, clock::wall_s());
     let Some(next) = write else {
         return Ok(Some(verdicts));
     };
--- a/crates/jb-daemon/src/serve/completions.rs
+++ b/crates/jb-daemon/src/serve/completions.rs
@@ -6,7 +6,7 @@
 use async_stream::stream;
 use bytes::Bytes;
 use jb_policy::call::{Call, Refusal};
-use jb_policy::claim::{self, Verdict, Wish};
+use jb_policy::idempotency::{self, Decision, Reservation};
 use jb_policy::limit::Admitted;
 use jb_protocol::error::{Kind, Outcome};
 use jb_protocol::{event, header};
@@ -196,15 +196,15 @@
     let Some(key) = key else {
         return Ok(());
     };
-    let wish = Wish {
-        key: claim::key(customer, service, key),
-        claimant: jb_policy::place::name_hash(id),
+    let wish = Reservation {
+        key: idempotency::key(customer, service, key),
+        owner: jb_policy::place::name_hash(id),
     };
     match context.claims.claim(wish).await {
-        Ok(Verdict::Granted) => Ok(()),
+        Ok(Decision::Granted) => Ok(()),
         // Whoever holds the claim may have run the request.
-        Ok(Verdict::Taken) => Err(call.refuse_claimed("a request with this key came before")),
-        Ok(Verdict::Full) => Err(call.refuse(Kind::ClaimUnavailable, "too many claims are remembered")),
+        Ok(Decision::Duplicate) => Err(call.refuse_claimed("a request with this key came before")),
+        Ok(Decision::Full) => Err(call.refuse(Kind::ClaimUnavailable, "too many claims are remembered")),
         Err(error) => Err(call.refuse(Kind::ClaimUnavailable, error.to_string())),
     }
 }
--- a/crates/jb-policy/benches/decide.rs
+++ b/crates/jb-policy/benches/decide.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use jb_policy::claim::{Shard, Wish};
+use jb_policy::idempotency::{Reservation, Shard};
 use jb_policy::limit::Limits;
 use jb_policy::member::{Member, Members};
 use jb_policy::prefix::{Chain, Scope};
@@ -149,16 +149,16 @@
 fn claims(criterion: &mut Criterion) {
     let mut shard = Shard::default();
     for n in 0..2000_u64 {
-        let wish = Wish {
+        let wish = Reservation {
             key: u128::from(n),
-            claimant: n,
+            owner: n,
         };
         shard = shard.plan(&[wish], 1).write.expect("a new entry");
     }
-    let wishes: Vec<Wish> = (0..32_u64)
-        .map(|n| Wish {
+    let wishes: Vec<Reservation> = (0..32_u64)
+        .map(|n| Reservation {
             key: u128::from(n + 10_000),
-            claimant: n,
+            owner: n,
         })
         .collect();
     criterion.bench_function("claims/batch_of_32_into_2000", |bencher| {
--- a/crates/jb-policy/src/lib.rs
+++ b/crates/jb-policy/src/lib.rs
@@ -9,11 +9,12 @@
 pub mod call;
 pub mod cell;
 pub mod choose;
-pub mod claim;
+
 pub mod election;
 pub mod gate;
 pub mod hall;
 pub mod health;
+pub mod idempotency;
 pub mod knowledge;
 pub mod leader;
 pub mod limit;
