--- a/crates/jb-policy/src/tree.rs
+++ b/crates/jb-policy/src/dissemination.rs
@@ -57,7 +57,7 @@
 
 /// Returns the number of groups into which the recipients of a message are split, so that neither the sender, which
 /// sends to the head of each group, nor a head sends much.
-pub fn groups(recipients: usize) -> usize {
+pub fn group_count(recipients: usize) -> usize {
     recipients.isqrt()
 }
 
--- a/crates/jb-policy/src/reach.rs
+++ b/crates/jb-policy/src/hall_reachability.rs
@@ -41,9 +41,9 @@
     }
 }
 
-/// Reachability of the other halls, by the connections of one box.
+/// HallReachability of the other halls, by the connections of one box.
 #[derive(Debug, Default)]
-pub struct Reach {
+pub struct HallReachability {
     silent: BTreeMap<id::Hall, Silence>,
     /// When another hall has last answered.
     reached: Option<Moment>,
@@ -94,22 +94,22 @@
     }
 }
 
-impl Reach {
+impl HallReachability {
     /// Notes that a connection to an upstream of another hall timed out.
-    pub fn note_silent(&mut self, hall: &str, upstream: u64, now: Moment) {
+    pub fn note_timeout(&mut self, hall: &str, upstream: u64, now: Moment) {
         let known = self.silent.get(hall);
         let silence = known.map_or(Silence::new(upstream, now), |known| known.again(upstream, now));
         self.silent.insert(hall.to_owned(), silence);
     }
 
     /// Notes that another hall has answered, so the own one isn't partitioned.
-    pub fn note_reached(&mut self, hall: &str, now: Moment) {
+    pub fn note_answer(&mut self, hall: &str, now: Moment) {
         self.reached = Some(now);
         self.silent.remove(hall);
     }
 
     /// Returns whether every hall has answered since the last timeout, so that none is avoided.
-    pub fn is_clear(&self) -> bool {
+    pub fn all_answer(&self) -> bool {
         self.silent.is_empty()
     }
 
--- a/crates/jb-policy/src/outage.rs
+++ b/crates/jb-policy/src/outage.rs
@@ -16,7 +16,7 @@
 const HARMLESS: f64 = 1.75;
 
 /// Silence of the store in which no entry lapses, by the pause between two heartbeats of an upstream.
-pub fn harmless(heartbeat: Duration) -> Duration {
+pub fn tolerated_silence(heartbeat: Duration) -> Duration {
     heartbeat.mul_f64(HARMLESS)
 }
 
@@ -62,11 +62,11 @@
 
 /// What is known of the store in a time of which a box saw nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Store {
+pub enum Availability {
     /// It answered some box all the while.
-    Answered,
+    Available,
     /// It answered no box for longer than costs no entry, and answers again.
-    Away,
+    Unavailable,
     /// No box that has reached it lately is reachable.
     Unknown,
 }
@@ -74,14 +74,14 @@
 /// Judges by the span in which the store has answered this box or others, up to this box's latest answer, and by
 /// the spans of the boxes that are reachable now. A box that is itself partitioned shows nothing about the
 /// store.
-pub fn judge(partition: Span, seen: Span, others: &[Span], harmless: Duration) -> Store {
+pub fn classify(partition: Span, seen: Span, others: &[Span], harmless: Duration) -> Availability {
     if seen.from <= partition.from + harmless {
-        return Store::Answered;
+        return Availability::Available;
     }
     let sees_it = |span: &Span| span.until + harmless >= partition.until;
     if others.iter().any(sees_it) {
-        Store::Away
+        Availability::Unavailable
     } else {
-        Store::Unknown
+        Availability::Unknown
     }
 }
--- a/crates/jb-policy/src/prefix.rs
+++ b/crates/jb-policy/src/prefix.rs
@@ -8,7 +8,7 @@
 use jb_protocol::token::{self, BYTES_PER_BLOCK, TOKENS_PER_BLOCK};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Blocks between two marks inside a level.
+/// Blocks between two prefixes inside a level.
 const BLOCKS_PER_MARK: usize = 8;
 /// Level whose end names the root: the house style.
 const ROOT_LEVEL: usize = 0;
@@ -22,7 +22,7 @@
 
 /// A prefix at which cached state is remembered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Mark {
+pub struct Prefix {
     /// Hash of the prefix.
     pub hash: Hash,
     /// Length of the prefix in tokens.
@@ -61,15 +61,15 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Chain {
     /// Marks, the shortest first.
-    pub marks: Vec<Mark>,
+    pub prefixes: Vec<Prefix>,
     /// Length of the whole prompt in tokens.
     pub tokens: u32,
     /// The outermost shared prefix; it decides where a prompt goes of which
     /// nothing is known to be cached anywhere.
-    pub root: Mark,
+    pub root: Prefix,
     /// The prefix that moves as a whole in a migration, and that decides
     /// between engines that cost about the same.
-    pub family: Mark,
+    pub family: Prefix,
 }
 
 impl Chain {
@@ -79,11 +79,11 @@
         let text: String = levels.concat();
         let hashes = hash_blocks(seed, text.as_bytes());
         let ends = level_ends(levels);
-        let marks = place_marks(&hashes, &ends);
-        let root = end_of(ROOT_LEVEL, seed, &marks, &ends);
-        let family = end_of(FAMILY_LEVEL, seed, &marks, &ends);
+        let prefixes = place_marks(&hashes, &ends);
+        let root = end_of(ROOT_LEVEL, seed, &prefixes, &ends);
+        let family = end_of(FAMILY_LEVEL, seed, &prefixes, &ends);
         Self {
-            marks,
+            prefixes,
             tokens: token::count(text.len()),
             root,
             family,
@@ -113,7 +113,7 @@
         .collect()
 }
 
-fn place_marks(hashes: &[Hash], ends: &[usize]) -> Vec<Mark> {
+fn place_marks(hashes: &[Hash], ends: &[usize]) -> Vec<Prefix> {
     let wanted = |blocks: usize| {
         blocks.is_multiple_of(BLOCKS_PER_MARK) || blocks == hashes.len() || ends.contains(&blocks)
     };
@@ -123,8 +123,8 @@
         .collect()
 }
 
-fn mark(hash: Hash, blocks: usize) -> Mark {
-    Mark {
+fn mark(hash: Hash, blocks: usize) -> Prefix {
+    Prefix {
         hash,
         tokens: u32::try_from(blocks)
             .unwrap_or(u32::MAX)
@@ -133,13 +133,13 @@
 }
 
 /// The last mark before the end of a level, or of the last shared level.
-fn end_of(level: usize, seed: Hash, marks: &[Mark], ends: &[usize]) -> Mark {
+fn end_of(level: usize, seed: Hash, prefixes: &[Prefix], ends: &[usize]) -> Prefix {
     let tokens = match ends.get(level).or(ends.last()) {
         Some(blocks) if *blocks > 0 => mark(0, *blocks).tokens,
         _ => FAMILY_TOKENS,
     };
-    let end = marks.iter().rev().find(|m| m.tokens <= tokens);
-    end.or(marks.first()).copied().unwrap_or(Mark {
+    let end = prefixes.iter().rev().find(|m| m.tokens <= tokens);
+    end.or(prefixes.first()).copied().unwrap_or(Prefix {
         hash: seed,
         tokens: 0,
     })
--- a/crates/jb-policy/src/prefix_cache.rs
+++ b/crates/jb-policy/src/prefix_cache.rs
@@ -39,7 +39,7 @@
     }
 
     /// Notes that a prompt is read: its shared segments, and `own` tokens of its own.
-    pub fn read(&mut self, shared: impl Iterator<Item = Segment>, own: u64) {
+    pub fn insert(&mut self, shared: impl Iterator<Item = Segment>, own: u64) {
         let segments: Vec<Segment> = shared.collect();
         let fresh = segments.iter().filter(|segment| !self.holds(segment.id));
         let fresh: u64 = fresh.map(|segment| segment.tokens).sum();
@@ -68,7 +68,7 @@
     }
 
     /// Returns the tokens of the prompt's leading segments that are cached and needn't be read.
-    pub fn found(&self, prompt: &[Segment]) -> u64 {
+    pub fn cached_tokens(&self, prompt: &[Segment]) -> u64 {
         let leading = prompt.iter().take_while(|segment| self.holds(segment.id));
         leading.map(|segment| segment.tokens).sum()
     }
--- a/crates/jb-policy/src/knowledge.rs
+++ b/crates/jb-policy/src/prefix_index.rs
@@ -15,8 +15,8 @@
 /// Engines remembered for one prefix.
 const HOLDERS: usize = 8;
 
-/// Index of an engine within its service.
-pub type Index = u32;
+/// EngineIndex of an engine within its service.
+pub type EngineIndex = u32;
 /// Count of an engine's incarnations as this box has seen them.
 pub type Epoch = u32;
 /// Blocks that have been put into an engine's cache so far; it wraps around.
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Holder {
     /// The engine.
-    pub engine: Index,
+    pub engine: EngineIndex,
     /// Its epoch when the fact was learned.
     pub epoch: Epoch,
     /// Its fill when the fact was learned.
@@ -35,18 +35,18 @@
 
 /// A known length of a prompt at one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Known {
+pub struct Match {
     /// The engine.
-    pub engine: Index,
+    pub engine: EngineIndex,
     /// Tokens of the prompt that it held.
     pub tokens: u32,
 }
 
 /// The keys are hashes already; hashing them again would only cost time.
 #[derive(Default)]
-pub struct Identity(u64);
+pub struct IdentityHasher(u64);
 
-impl Hasher for Identity {
+impl Hasher for IdentityHasher {
     fn finish(&self) -> u64 {
         self.0
     }
@@ -83,7 +83,7 @@
         &self.list[..usize::from(self.count)]
     }
 
-    fn remove(&mut self, engine: Index) {
+    fn remove(&mut self, engine: EngineIndex) {
         let Some(at) = self.as_slice().iter().position(|h| h.engine == engine) else {
             return;
         };
@@ -102,17 +102,17 @@
     }
 }
 
-type Generation = HashMap<Hash, Holders, BuildHasherDefault<Identity>>;
+type Generation = HashMap<Hash, Holders, BuildHasherDefault<IdentityHasher>>;
 
 /// The index of one service's engines in one hall.
 #[derive(Default)]
-pub struct Knowledge {
+pub struct PrefixIndex {
     young: Generation,
     old: Generation,
     capacity: usize,
 }
 
-impl Knowledge {
+impl PrefixIndex {
     /// Makes an index of at most `capacity` prefixes in each generation.
     pub fn new(capacity: usize) -> Self {
         Self {
@@ -133,16 +133,16 @@
 
     /// The longest known prefix of a prompt at each engine that holds any;
     /// `is_valid` selects the facts that still hold.
-    pub fn lookup(&self, chain: &Chain, is_valid: impl Fn(&Holder) -> bool) -> Vec<Known> {
-        let mut found: Vec<Known> = Vec::with_capacity(HOLDERS);
-        for mark in chain.marks.iter().rev() {
+    pub fn lookup(&self, chain: &Chain, is_valid: impl Fn(&Holder) -> bool) -> Vec<Match> {
+        let mut found: Vec<Match> = Vec::with_capacity(HOLDERS);
+        for mark in chain.prefixes.iter().rev() {
             let Some(holders) = self.get(mark.hash) else {
                 continue;
             };
             for holder in holders.as_slice() {
                 let seen = found.iter().any(|k| k.engine == holder.engine);
                 if !seen && is_valid(holder) {
-                    found.push(Known {
+                    found.push(Match {
                         engine: holder.engine,
                         tokens: mark.tokens,
                     });
@@ -153,15 +153,15 @@
     }
 
     /// Learns that an engine holds a prompt up to `tokens`.
-    pub fn learn(&mut self, chain: &Chain, holder: Holder, tokens: u32) {
-        for mark in chain.marks.iter().take_while(|m| m.tokens <= tokens) {
+    pub fn insert(&mut self, chain: &Chain, holder: Holder, tokens: u32) {
+        for mark in chain.prefixes.iter().take_while(|m| m.tokens <= tokens) {
             self.entry(mark.hash).insert(holder);
         }
     }
 
     /// Learns that an engine held no more than `tokens` of a prompt.
-    pub fn unlearn(&mut self, chain: &Chain, engine: Index, tokens: u32) {
-        for mark in chain.marks.iter().filter(|m| m.tokens > tokens) {
+    pub fn remove_beyond(&mut self, chain: &Chain, engine: EngineIndex, tokens: u32) {
+        for mark in chain.prefixes.iter().filter(|m| m.tokens > tokens) {
             for generation in [&mut self.young, &mut self.old] {
                 if let Some(holders) = generation.get_mut(&mark.hash) {
                     holders.remove(engine);
--- a/crates/jb-policy/src/route/pool.rs
+++ b/crates/jb-policy/src/route/pool.rs
@@ -18,8 +18,8 @@
 use crate::Moment;
 use crate::cell;
 use crate::health::Change;
-use crate::knowledge::{Index, Knowledge};
 use crate::prefix::Chain;
+use crate::prefix_index::{EngineIndex, PrefixIndex};
 use crate::share::{Bound, Budget};
 use crate::signal::Signals;
 use crate::stream::Start;
@@ -43,7 +43,7 @@
 pub struct Pool {
     service: Service,
     upstreams: Vec<Upstream>,
-    knowledge: Knowledge,
+    prefix_index: PrefixIndex,
     budget: Budget,
     turn: usize,
     cells: Vec<Vec<usize>>,
@@ -53,7 +53,7 @@
     /// A pool of the service's upstreams in `hall`.
     pub fn new(service: &Service, hall: &str) -> Self {
         let mut pool = Self {
-            knowledge: Knowledge::default(),
+            prefix_index: PrefixIndex::default(),
             service: service.clone(),
             upstreams: Vec::new(),
             budget: Budget::default(),
@@ -80,8 +80,8 @@
         self.cells = cells_of(&self.upstreams);
         self.service = service.clone();
         // Facts name upstreams by their place, and weights by their version.
-        if before != after || weights_changed || self.knowledge.is_empty() {
-            self.knowledge = Knowledge::new(self.marks());
+        if before != after || weights_changed || self.prefix_index.is_empty() {
+            self.prefix_index = PrefixIndex::new(self.marks());
         }
     }
 
@@ -170,7 +170,7 @@
         // prefix waits behind this one. The answer corrects it.
         upstream.insert(missing, now);
         let holder = upstream.holder(engine_index(best.index));
-        self.knowledge.learn(&ask.chain, holder, ask.chain.tokens);
+        self.prefix_index.insert(&ask.chain, holder, ask.chain.tokens);
         self.turn = self.turn.wrapping_add(1);
         Ok(choice)
     }
@@ -219,8 +219,9 @@
             .backlog
             .report(&start.load, now.saturating_sub(ANSWER_AGE));
         let holder = upstream.holder(engine_index(index));
-        self.knowledge.unlearn(chain, holder.engine, start.cached_tokens);
-        self.knowledge.learn(chain, holder, chain.tokens);
+        self.prefix_index
+            .remove_beyond(chain, holder.engine, start.cached_tokens);
+        self.prefix_index.insert(chain, holder, chain.tokens);
         new
     }
 
@@ -313,6 +314,6 @@
     u32::try_from(cells.len()).unwrap_or(1)
 }
 
-fn engine_index(index: usize) -> Index {
-    Index::try_from(index).unwrap_or(Index::MAX)
+fn engine_index(index: usize) -> EngineIndex {
+    EngineIndex::try_from(index).unwrap_or(EngineIndex::MAX)
 }
--- a/crates/jb-policy/src/route/pool/weigh.rs
+++ b/crates/jb-policy/src/route/pool/weigh.rs
@@ -8,9 +8,9 @@
 use super::{Pool, cell_count};
 use crate::Moment;
 use crate::cell;
-use crate::knowledge::{Holder, Known};
 use crate::place;
 use crate::prefix::Chain;
+use crate::prefix_index::{Holder, Match};
 use crate::route::Ask;
 
 /// Upstreams weighed beside those of the cell.
@@ -50,7 +50,7 @@
     /// Weighs every upstream that the request may go to.
     pub(super) fn weigh(&self, ask: &Ask, now: Moment) -> Vec<Weighed> {
         let known = self
-            .knowledge
+            .prefix_index
             .lookup(&ask.chain, |holder| self.still_holds(holder));
         let mut indexes = self.open_to(ask, self.candidates(ask, &known), now);
         if indexes.is_empty() {
@@ -80,7 +80,7 @@
 
     /// Owner of the root by placement, as long as no engine is known to hold
     /// any of the prompt: a box that takes a cell over starts from there.
-    fn home(&self, chain: &Chain, known: &[Known], indexes: &[usize]) -> Option<usize> {
+    fn home(&self, chain: &Chain, known: &[Match], indexes: &[usize]) -> Option<usize> {
         if !known.is_empty() {
             return None;
         }
@@ -90,7 +90,7 @@
 
     /// The engines of the prompt's cell, those known to hold a prefix of it,
     /// and a few of other cells for when the own cell has too much work.
-    fn candidates(&self, ask: &Ask, known: &[Known]) -> Vec<usize> {
+    fn candidates(&self, ask: &Ask, known: &[Match]) -> Vec<usize> {
         if self.cells.len() <= 1 || self.service.policy != Policy::Junctionbend {
             return (0..self.upstreams.len()).collect();
         }
@@ -112,7 +112,7 @@
         &self,
         index: usize,
         ask: &Ask,
-        known: &[Known],
+        known: &[Match],
         home: Option<usize>,
         now: Moment,
     ) -> Weighed {
--- a/crates/jb-policy/src/transfer.rs
+++ b/crates/jb-policy/src/transfer.rs
@@ -5,7 +5,7 @@
 
 /// Tokens of a prompt's leading shared segments, by who is believed to have them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Holdings {
+pub struct CachedTokens {
     /// At the engine that gets the request.
     pub own: u64,
     /// At the best other engine with the same weights.
@@ -17,7 +17,7 @@
     /// Whether there is a store.
     pub has_store: bool,
     /// Whether the box learns of every prompt, so that its model of engines is accurate.
-    pub sure: bool,
+    pub is_exact: bool,
 }
 
 /// Source of a transfer.
@@ -40,7 +40,7 @@
     pub tokens: u64,
 }
 
-impl Holdings {
+impl CachedTokens {
     fn plan(&self, origin: Origin) -> Plan {
         let there = match origin {
             Origin::Nowhere => 0,
@@ -65,8 +65,8 @@
 const MIN_STORED: u64 = 64;
 
 /// Plans the transfer for one prompt by the accounts of engines, where a store may have more than is known.
-pub fn plan_advised(holdings: &Holdings) -> Plan {
-    let Holdings {
+pub fn plan_advised(holdings: &CachedTokens) -> Plan {
+    let CachedTokens {
         own,
         engine,
         shared,
@@ -85,18 +85,22 @@
 }
 
 /// Plans the transfer for one prompt.
-pub fn plan(holdings: &Holdings) -> Plan {
-    let Holdings {
+pub fn plan(holdings: &CachedTokens) -> Plan {
+    let CachedTokens {
         own,
         engine,
         store,
         shared,
         has_store,
-        sure,
+        is_exact,
     } = *holdings;
     let by_engine = engine >= own + MIN_TRANSFERRED;
     // The store may have more than boxes know of, but what an engine is known to have comes.
-    let by_engine_first = if sure { engine >= store } else { engine >= shared };
+    let by_engine_first = if is_exact {
+        engine >= store
+    } else {
+        engine >= shared
+    };
     let origin = if by_engine && by_engine_first {
         Origin::Engine
     } else if has_store && (store > 0 || shared >= own + MIN_QUERIED) {
--- a/crates/jb-policy/src/upstream.rs
+++ b/crates/jb-policy/src/upstream.rs
@@ -10,9 +10,9 @@
 use crate::Moment;
 use crate::backoff::Backoff;
 use crate::health::Health;
-use crate::knowledge::{Epoch, Fill, Holder, Index};
 use crate::load::Backlog;
 use crate::place;
+use crate::prefix_index::{EngineIndex, Epoch, Fill, Holder};
 use crate::pressure::Pressure;
 use crate::rate_limit::{Rate, Share};
 use crate::signal::Signals;
@@ -196,7 +196,7 @@
     }
 
     /// The upstream as the holder of what it caches now.
-    pub fn holder(&self, engine: Index) -> Holder {
+    pub fn holder(&self, engine: EngineIndex) -> Holder {
         Holder {
             engine,
             epoch: self.epoch,
--- a/crates/jb-policy/tests/choose.rs
+++ b/crates/jb-policy/tests/choose.rs
@@ -109,18 +109,18 @@
     let first = prompt(&[(1, 100), (2, 200)]);
     let mut cache = PrefixCache::default();
     cache.set_capacity(1000);
-    cache.read(first.iter().copied(), 50);
-    assert_eq!(cache.found(&first), 300);
-    assert_eq!(cache.found(&prompt(&[(1, 100), (9, 10), (2, 200)])), 100);
-    cache.read(std::iter::empty(), 900);
-    assert_eq!(cache.found(&first), 300);
+    cache.insert(first.iter().copied(), 50);
+    assert_eq!(cache.cached_tokens(&first), 300);
+    assert_eq!(cache.cached_tokens(&prompt(&[(1, 100), (9, 10), (2, 200)])), 100);
+    cache.insert(std::iter::empty(), 900);
+    assert_eq!(cache.cached_tokens(&first), 300);
     // Used again, they stay; unused, they go.
-    cache.read(first.iter().copied(), 0);
-    cache.read(std::iter::empty(), 1001);
-    assert_eq!(cache.found(&first), 0);
-    cache.read(first.iter().copied(), 0);
+    cache.insert(first.iter().copied(), 0);
+    cache.insert(std::iter::empty(), 1001);
+    assert_eq!(cache.cached_tokens(&first), 0);
+    cache.insert(first.iter().copied(), 0);
     cache.clear();
-    assert_eq!(cache.found(&first), 0);
+    assert_eq!(cache.cached_tokens(&first), 0);
 }
 
 #[test]
--- a/crates/jb-policy/tests/tree.rs
+++ b/crates/jb-policy/tests/dissemination.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use jb_policy::tree::{self, Level};
+use jb_policy::dissemination::{self, Level};
 
 /// Sizes of a fleet in six data halls.
 const FLEETS: [usize; 2] = [1000, 2000];
@@ -69,8 +69,8 @@
 fn message_to_all_boxes_costs_none_of_them_more_than_twice_the_root_of_its_hall() {
     for boxes in FLEETS {
         let others: Vec<usize> = (1..boxes / HALLS).collect();
-        let (heads, rest) = others.split_at(tree::groups(others.len()));
-        let groups = tree::split(heads, rest);
+        let (heads, rest) = others.split_at(dissemination::group_count(others.len()));
+        let groups = dissemination::split(heads, rest);
         let most = 2 * others.len().isqrt();
         assert!(groups.len() <= most, "{boxes} boxes: {} groups", groups.len());
         let mut reached = BTreeSet::new();
--- a/crates/jb-policy/tests/outage.rs
+++ b/crates/jb-policy/tests/outage.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use jb_policy::outage::{self, Span, Store};
+use jb_policy::outage::{self, Availability, Span};
 use quickcheck::{Gen, QuickCheck, TestResult};
 
 const fn ms(millis: u64) -> Duration {
@@ -23,11 +23,11 @@
 
 /// Judges as a box does that has its own answer at the end of its cut, and what others told; each
 /// tells again and again.
-fn judge(told: &[Span]) -> Store {
+fn classify(told: &[Span]) -> Availability {
     let own = Span::at(BLIND.until);
     let twice = told.iter().chain(told);
     let seen = twice.fold(own, |seen, span| join(Some(seen), *span));
-    outage::judge(BLIND, seen, told, outage::harmless(ms(1200)))
+    outage::classify(BLIND, seen, told, outage::tolerated_silence(ms(1200)))
 }
 
 fn join(known: Option<Span>, other: Span) -> Span {
@@ -40,19 +40,19 @@
 fn short_loss_of_connections_is_no_outage_of_the_store() {
     let before = join(Some(span(1_000, 15_000)), Span::at(ms(15_420)));
     assert_eq!(before, span(1_000, 15_420));
-    assert_eq!(judge(&[span(1_000, 20_500)]), Store::Answered);
+    assert_eq!(classify(&[span(1_000, 20_500)]), Availability::Available);
 }
 
 /// Several boxes, none of which was served all the while, know together that the store was there.
 #[test]
 fn spans_of_several_boxes_count_together() {
     assert_eq!(
-        judge(&[span(14_000, 20_500), span(2_000, 13_000)]),
-        Store::Answered
+        classify(&[span(14_000, 20_500), span(2_000, 13_000)]),
+        Availability::Available
     );
     assert_eq!(
-        judge(&[span(2_000, 13_000), span(14_000, 20_500)]),
-        Store::Answered
+        classify(&[span(2_000, 13_000), span(14_000, 20_500)]),
+        Availability::Available
     );
 }
 
@@ -64,26 +64,29 @@
     let own = Span::at(ms(20_400));
     let lead = join(Some(own), span(2_000, 20_100));
     assert_eq!(lead, span(2_000, 20_400));
-    assert_eq!(judge(&[lead]), Store::Answered);
+    assert_eq!(classify(&[lead]), Availability::Available);
 }
 
 /// A box that is cut off has last heard of the store before: that is no sign that the store is away.
 #[test]
 fn box_that_is_cut_off_itself_tells_nothing_of_the_store() {
-    assert_eq!(judge(&[span(2_000, 10_100)]), Store::Unknown);
+    assert_eq!(classify(&[span(2_000, 10_100)]), Availability::Unknown);
 }
 
 #[test]
 fn store_that_answered_nobody_and_is_back_was_away() {
-    assert_eq!(judge(&[span(20_400, 20_900)]), Store::Away);
-    assert_eq!(judge(&[span(20_400, 20_900), span(2_000, 10_100)]), Store::Away);
+    assert_eq!(classify(&[span(20_400, 20_900)]), Availability::Unavailable);
+    assert_eq!(
+        classify(&[span(20_400, 20_900), span(2_000, 10_100)]),
+        Availability::Unavailable
+    );
     let ended = join(Some(span(2_000, 10_100)), Span::at(ms(20_400)));
     assert_eq!(ended, span(20_400, 20_400));
 }
 
 #[test]
 fn box_that_hears_nobody_knows_nothing() {
-    assert_eq!(judge(&[]), Store::Unknown);
+    assert_eq!(classify(&[]), Availability::Unknown);
 }
 
 /// Whatever boxes saw, and whoever told whom, a store that was away for longer than costs no entry is
@@ -124,11 +127,11 @@
             .iter()
             .fold(Span::at(now), |seen, span| join(Some(seen), *span));
         let silence = up.saturating_sub(down);
-        match outage::judge(blind, known, &told, HARMLESS) {
-            Store::Answered => TestResult::from_bool(silence <= HARMLESS),
+        match outage::classify(blind, known, &told, HARMLESS) {
+            Availability::Available => TestResult::from_bool(silence <= HARMLESS),
             // Two calls that frame the outage are up to two pauses further apart.
-            Store::Away => TestResult::from_bool(silence + ms(1_400) > HARMLESS),
-            Store::Unknown => TestResult::failed(),
+            Availability::Unavailable => TestResult::from_bool(silence + ms(1_400) > HARMLESS),
+            Availability::Unknown => TestResult::failed(),
         }
     }
     let holds = holds as fn(Vec<u16>, Vec<(u16, u16)>, u16, u16) -> TestResult;
--- a/crates/jb-policy/tests/route.rs
+++ b/crates/jb-policy/tests/route.rs
@@ -73,7 +73,7 @@
         };
         Chain::new(&scope, &levels)
     };
-    let hashes = |c: &Chain| c.marks.iter().map(|m| m.hash).collect::<Vec<_>>();
+    let hashes = |c: &Chain| c.prefixes.iter().map(|m| m.hash).collect::<Vec<_>>();
     let own = hashes(&chain("ann", "w1"));
     for other in [hashes(&chain("bob", "w1")), hashes(&chain("ann", "w2"))] {
         assert!(own.iter().all(|hash| !other.contains(hash)));
--- a/crates/jb-policy/tests/transfer.rs
+++ b/crates/jb-policy/tests/transfer.rs
@@ -1,38 +1,38 @@
 //! Where an engine takes the parts of a prompt from.
 
-use jb_policy::transfer::{Holdings, Origin, Plan, plan, plan_advised};
+use jb_policy::transfer::{CachedTokens, Origin, Plan, plan, plan_advised};
 
 const ROOT: u64 = 2500;
 const SHARED: u64 = 6300;
 
-fn takes(origin: Origin, tokens: u64, holdings: Holdings) {
+fn takes(origin: Origin, tokens: u64, holdings: CachedTokens) {
     assert_eq!(plan(&holdings), Plan { origin, tokens }, "{holdings:?}");
 }
 
-fn holdings() -> Holdings {
-    Holdings {
+fn holdings() -> CachedTokens {
+    CachedTokens {
         shared: SHARED,
         has_store: true,
-        sure: true,
-        ..Holdings::default()
+        is_exact: true,
+        ..CachedTokens::default()
     }
 }
 
 #[test]
 fn store_with_all_parts_goes_before_an_engine_with_the_first() {
-    let holdings = Holdings {
+    let holdings = CachedTokens {
         engine: ROOT,
         store: SHARED,
         ..holdings()
     };
     takes(Origin::Store, SHARED, holdings);
     let own = ROOT;
-    takes(Origin::Store, SHARED - ROOT, Holdings { own, ..holdings });
+    takes(Origin::Store, SHARED - ROOT, CachedTokens { own, ..holdings });
 }
 
 #[test]
 fn engine_with_all_parts_goes_before_the_store() {
-    let holdings = Holdings {
+    let holdings = CachedTokens {
         engine: SHARED,
         store: SHARED,
         ..holdings()
@@ -42,7 +42,7 @@
 
 #[test]
 fn store_is_asked_for_parts_that_nobody_is_known_to_have() {
-    let holdings = Holdings {
+    let holdings = CachedTokens {
         own: ROOT,
         engine: ROOT,
         ..holdings()
@@ -55,19 +55,19 @@
 /// read all again.
 #[test]
 fn engine_with_some_parts_goes_before_a_store_that_is_not_known_to_have_more() {
-    let holdings = Holdings {
+    let holdings = CachedTokens {
         engine: ROOT,
         ..holdings()
     };
     takes(Origin::Engine, ROOT, holdings);
     // A box that hears of some prompts only takes the store's chance.
-    let sure = false;
-    takes(Origin::Store, 0, Holdings { sure, ..holdings });
+    let is_exact = false;
+    takes(Origin::Store, 0, CachedTokens { is_exact, ..holdings });
 }
 
 #[test]
 fn engine_with_some_parts_is_the_source_where_there_is_no_store() {
-    let holdings = Holdings {
+    let holdings = CachedTokens {
         engine: ROOT,
         has_store: false,
         ..holdings()
@@ -77,7 +77,7 @@
 
 #[test]
 fn few_missing_tokens_are_no_move() {
-    let holdings = Holdings {
+    let holdings = CachedTokens {
         own: SHARED - 40,
         engine: SHARED,
         ..holdings()
@@ -88,16 +88,16 @@
 /// An engine that had dropped parts without a word read them again, though a store had them.
 #[test]
 fn store_is_asked_by_account_whatever_the_engine_is_believed_to_keep() {
-    let holdings = Holdings {
+    let holdings = CachedTokens {
         own: 6300,
         store: 6300,
         shared: 6300,
         has_store: true,
-        ..Holdings::default()
+        ..CachedTokens::default()
     };
     let plan = plan_advised(&holdings);
     assert_eq!((plan.origin, plan.tokens), (Origin::Store, 0));
-    let few = Holdings {
+    let few = CachedTokens {
         shared: 60,
         ..holdings
     };
@@ -106,14 +106,14 @@
 
 #[test]
 fn engine_goes_before_the_store_only_with_all_of_it() {
-    let head = Holdings {
+    let head = CachedTokens {
         engine: 2520,
         shared: 6300,
         has_store: true,
-        ..Holdings::default()
+        ..CachedTokens::default()
     };
     assert_eq!(plan_advised(&head).origin, Origin::Store);
-    let whole = Holdings { engine: 6300, ..head };
+    let whole = CachedTokens { engine: 6300, ..head };
     let plan = plan_advised(&whole);
     assert_eq!((plan.origin, plan.tokens), (Origin::Engine, 6300));
 }
--- a/crates/jb-relay/src/attempt.rs
+++ b/crates/jb-relay/src/attempt.rs
@@ -112,7 +112,7 @@
     match own_answer(core, instance, &mut link, message.ticket, sent, &mut clean).await {
         Ok((answer, head)) => {
             if entry.hall != core.settings.hall {
-                core.reach.borrow_mut().note_reached(&entry.hall, core.now());
+                core.reach.borrow_mut().note_answer(&entry.hall, core.now());
             }
             judge(core, answer, &head, link, clean).await
         }
@@ -125,7 +125,7 @@
     if entry.hall != core.settings.hall && matches!(why, link::Error::Silent(_)) {
         core.reach
             .borrow_mut()
-            .note_silent(&entry.hall, instance.name(), core.now());
+            .note_timeout(&entry.hall, instance.name(), core.now());
     }
 }
 
--- a/crates/jb-relay/src/cache_store.rs
+++ b/crates/jb-relay/src/cache_store.rs
@@ -46,13 +46,13 @@
     /// Notes that an engine loads the shared segments of a prompt.
     pub fn note_load(&mut self, shared: &[Segment], version: u64) {
         let held: Vec<Segment> = self.leading(shared, version).collect();
-        self.cache.read(held.into_iter(), 0);
+        self.cache.insert(held.into_iter(), 0);
     }
 
     /// Notes that an engine sends the shared segments of a prompt.
     pub fn note_store(&mut self, shared: impl Iterator<Item = Segment>, version: u64, own: u64) {
         self.cache
-            .read(shared.map(|segment| under(segment, version)), own);
+            .insert(shared.map(|segment| under(segment, version)), own);
     }
 }
 
--- a/crates/jb-relay/src/core.rs
+++ b/crates/jb-relay/src/core.rs
@@ -8,9 +8,9 @@
 use jb_clock::Clock;
 use jb_policy::Moment;
 use jb_policy::choose::Tuning;
+use jb_policy::hall_reachability::HallReachability;
 use jb_policy::outage::{self, Span};
 use jb_policy::pace::Pace;
-use jb_policy::reach::Reach;
 use jb_policy::share::{Bound, Budget};
 use jb_policy::weights::History;
 use jb_protocol::id;
@@ -101,7 +101,7 @@
     /// Places that this box asks other boxes for.
     pub accounts: Accounts,
     /// Data halls that this box can't connect to.
-    pub reach: RefCell<Reach>,
+    pub reach: RefCell<HallReachability>,
     /// Boxes that reach each other.
     pub reachability: RefCell<Reachability>,
     /// Customers' limits.
@@ -214,7 +214,7 @@
 
     /// Silence of the store in which no entry of an upstream lapses.
     pub fn harmless_silence(&self) -> Duration {
-        outage::harmless(self.settings.bounds.heartbeat)
+        outage::tolerated_silence(self.settings.bounds.heartbeat)
     }
 
     /// Takes a span in which the store answered this box or another one.
--- a/crates/jb-relay/src/exchange/place.rs
+++ b/crates/jb-relay/src/exchange/place.rs
@@ -4,7 +4,7 @@
 use jb_policy::Moment;
 use jb_policy::choose::{self, Demand, Tuning};
 use jb_policy::gate::{self, Estimate, Verdict};
-use jb_policy::reach::Avoided;
+use jb_policy::hall_reachability::Avoided;
 
 use super::ask::{self, Advice};
 use crate::core::{Core, Shared};
@@ -88,7 +88,7 @@
 /// Data halls that this box can't connect to.
 fn avoided(core: &Core) -> Avoided {
     let reach = core.reach.borrow();
-    if reach.is_clear() {
+    if reach.all_answer() {
         // The usual case, in which a request need not count the boxes that are reachable.
         return Avoided::None;
     }
--- a/crates/jb-relay/src/exchange/prompt.rs
+++ b/crates/jb-relay/src/exchange/prompt.rs
@@ -4,7 +4,7 @@
 
 use jb_policy::choose::Demand;
 use jb_policy::prefix_cache::Segment;
-use jb_policy::transfer::{self, Holdings, Origin};
+use jb_policy::transfer::{self, CachedTokens, Origin};
 use jb_policy::weights::Version;
 use jb_protocol::{emit, event};
 
@@ -74,13 +74,13 @@
             let store = self.demand().family().and_then(|family| cache_stores.of(family));
             store.map(|store| store.address)
         };
-        let plan = transfer::plan_advised(&Holdings {
+        let plan = transfer::plan_advised(&CachedTokens {
             own: advice.found,
             engine: advice.other.map_or(0, |(_, found)| found),
             store: if advice.stored { shared } else { 0 },
             shared,
             has_store: store.is_some(),
-            sure: true,
+            is_exact: true,
         });
         self.message.source = match plan.origin {
             Origin::Nowhere => None,
@@ -106,9 +106,9 @@
         let ticket = self.message.ticket;
         let mut upstreams = self.core.upstreams.borrow_mut();
         let upstream = upstreams.instance_mut(instance)?;
-        let found = upstream.cache.found(&ticket.prompt);
+        let found = upstream.cache.cached_tokens(&ticket.prompt);
         upstream.set_memory(self.memory());
-        upstream.cache.read(shared.iter().copied(), own);
+        upstream.cache.insert(shared.iter().copied(), own);
         let placed = Placed {
             place: upstream.name,
             version: 0,
@@ -121,22 +121,22 @@
     }
 
     /// Who has how much of the shared parts.
-    fn holdings(&self, shared: &[Segment], version: Option<Version>, own: u64, engine: u64) -> Holdings {
-        let elsewhere = Holdings {
+    fn holdings(&self, shared: &[Segment], version: Option<Version>, own: u64, engine: u64) -> CachedTokens {
+        let elsewhere = CachedTokens {
             own,
             engine,
             shared: self.demand().shared(),
-            ..Holdings::default()
+            ..CachedTokens::default()
         };
         let mut cache_stores = self.core.cache_stores.borrow_mut();
         let store = self.demand().family().and_then(|family| cache_stores.of(family));
         let (Some(store), Some(version)) = (store, version) else {
             return elsewhere;
         };
-        Holdings {
+        CachedTokens {
             store: store.found(shared, version),
             has_store: true,
-            sure: self.core.book.borrow().is_small(),
+            is_exact: self.core.book.borrow().is_small(),
             ..elsewhere
         }
     }
--- a/crates/jb-relay/src/follow/missing.rs
+++ b/crates/jb-relay/src/follow/missing.rs
@@ -6,7 +6,7 @@
 //! - **True now** is what the news say: an entry that is there, one that says it leaves, a newer
 //!   configuration. An upstream that was known to leave and has no entry any more is gone.
 //! - **Only old** is an upstream whose entry is missing. It is gone, at once, unless other boxes show
-//!   that the store itself was away ([`outage::judge`]): entries lapse in such an outage and are back
+//!   that the store itself was away ([`outage::classify`]): entries lapse in such an outage and are back
 //!   within two seconds of its end.
 //! - **A last resort** is such an upstream until [`REWRITE_TIME`] after the end of the partition: it gets
 //!   a request only where no upstream whose entry is there has a place for it, or where most of its
@@ -20,7 +20,7 @@
 //! outage of the store takes no upstream away that comes back.
 
 use jb_policy::Moment;
-use jb_policy::outage::{self, Span, Store};
+use jb_policy::outage::{self, Availability, Span};
 use jb_protocol::{emit, event};
 
 use super::facts::{Tally, gone};
@@ -60,7 +60,7 @@
         return false;
     };
     let spans = core.loads.borrow().store_spans(core.now());
-    outage::judge(partition, seen, &spans, core.harmless_silence()) == Store::Away
+    outage::classify(partition, seen, &spans, core.harmless_silence()) == Availability::Unavailable
 }
 
 /// Takes an upstream whose entry is missing off, or keeps it as a last resort until `until`.
--- a/crates/jb-relay/src/follow/run.rs
+++ b/crates/jb-relay/src/follow/run.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use jb_policy::Moment;
+use jb_policy::dissemination::Level;
 use jb_policy::outage::Span;
-use jb_policy::tree::Level;
 use jb_protocol::{emit, event};
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
--- a/crates/jb-relay/src/peers/account.rs
+++ b/crates/jb-relay/src/peers/account.rs
@@ -275,7 +275,7 @@
         })
         .collect();
     let all: u64 = shared.iter().map(|segment| segment.tokens).sum();
-    let found = upstream.cache.found(&shared);
+    let found = upstream.cache.cached_tokens(&shared);
     let load = upstream.account.load();
     let open = upstream.is_open(now);
     let slots = upstream.entry.slots;
@@ -297,7 +297,7 @@
         let until = now + Duration::from_millis(question.left_ms.into());
         upstream.account.take(question.place, read, until);
         upstream.health.sent();
-        upstream.cache.read(shared.into_iter(), u64::from(question.own));
+        upstream.cache.insert(shared.into_iter(), u64::from(question.own));
     }
     Some(Advice {
         place: question.place,
--- a/crates/jb-relay/src/peers/book.rs
+++ b/crates/jb-relay/src/peers/book.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use jb_policy::Moment;
+use jb_policy::dissemination::{self, Level};
 use jb_policy::place;
-use jb_policy::tree::{self, Level};
 use jb_protocol::id;
 
 /// Boxes up to which each sends its status to all others.
@@ -136,7 +136,7 @@
     /// ancestors in a tree of bounded fan-out, the nearest first.
     pub fn ancestors(&self, own: &str, hall: &str) -> Vec<SocketAddr> {
         let in_order = self.in_order(hall);
-        let ancestors = tree::ancestors(position(in_order, own));
+        let ancestors = dissemination::ancestors(position(in_order, own));
         ancestors.filter_map(|at| self.address(&in_order[at])).collect()
     }
 
--- a/crates/jb-relay/src/peers/broadcast.rs
+++ b/crates/jb-relay/src/peers/broadcast.rs
@@ -9,8 +9,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use jb_policy::dissemination;
 use jb_policy::place;
-use jb_policy::tree;
 use jb_protocol::id;
 use tokio::net::UdpSocket;
 
@@ -103,7 +103,7 @@
     if heads.is_empty() {
         send_to_each(core, socket, &rest, bytes).await;
     }
-    for (head, names) in tree::split(&heads, &rest) {
+    for (head, names) in dissemination::split(&heads, &rest) {
         let is_sent = send_forward(core, socket, head, Recipients::Boxes(names.clone()), bytes).await;
         if !is_sent {
             send_to_each(core, socket, &names, bytes).await;
@@ -119,7 +119,7 @@
     let others = book.others(&core.settings.id);
     let others = others.filter(|(_, peer)| peer.hall == core.settings.hall && Some(peer.address) != sender);
     let (mut heads, mut rest): (Vec<_>, Vec<_>) = others.partition(|(id, _)| alive.contains(*id));
-    rest.extend(heads.split_off(tree::groups(heads.len() + rest.len()).min(heads.len())));
+    rest.extend(heads.split_off(dissemination::group_count(heads.len() + rest.len()).min(heads.len())));
     (
         heads.iter().map(|(_, peer)| peer.address).collect(),
         rest.iter().map(|(_, peer)| place::short(peer.name)).collect(),
--- a/crates/jb-relay/src/peers/status.rs
+++ b/crates/jb-relay/src/peers/status.rs
@@ -235,7 +235,7 @@
     let mut upstreams = core.upstreams.borrow_mut();
     let upstream = upstreams.by_short_name_mut(place::short(status.place));
     if let Some(upstream) = upstream.filter(|upstream| upstream.name == status.place) {
-        upstream.cache.read(shared, own);
+        upstream.cache.insert(shared, own);
     }
 }
 
--- a/crates/jb-relay/src/upstream/pick.rs
+++ b/crates/jb-relay/src/upstream/pick.rs
@@ -171,7 +171,7 @@
     pub fn source(&self, target: &Instance, wanted: &Wanted<'_>, now: Moment) -> Option<Source> {
         let upstream = self.instance(target)?;
         let has = wanted.model.and_then(|model| upstream.weights(model))?;
-        let found = upstream.cache.found(wanted.demand.prompt);
+        let found = upstream.cache.cached_tokens(wanted.demand.prompt);
         let holders = self.holders(wanted, now);
         let better = holders
             .iter()
@@ -191,7 +191,7 @@
         };
         let mut holders = Vec::new();
         for upstream in self.of_service(wanted.service) {
-            let found = upstream.cache.found(wanted.demand.prompt);
+            let found = upstream.cache.cached_tokens(wanted.demand.prompt);
             let weights = upstream.weights(model);
             if let Some(weights) = weights.filter(|_| found > 0 && upstream.hands_on(now)) {
                 holders.push(Holder {
--- a/crates/jb-relay/src/upstream/state.rs
+++ b/crates/jb-relay/src/upstream/state.rs
@@ -188,7 +188,7 @@
             running: self.running + self.others.running,
             slots: self.entry.slots,
             waiting: self.waiting + self.others.waiting,
-            found: self.cache.found(demand.prompt),
+            found: self.cache.cached_tokens(demand.prompt),
             elsewhere: 0,
             behind,
             slowness: if self.entry.cold.is_zero() { 1.0 } else { COLD },
--- a/crates/jb-relay/src/upstream/wanted.rs
+++ b/crates/jb-relay/src/upstream/wanted.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use jb_policy::choose::Demand;
-use jb_policy::reach::Avoided;
+use jb_policy::hall_reachability::Avoided;
 use jb_policy::weights::History;
 
 use super::Instance;
