--- a/crates/jb-daemon/src/quarantine.rs
+++ b/crates/jb-daemon/src/quarantine.rs
@@ -8,7 +8,7 @@
 use futures_util::future::select_ok;
 use jb_policy::Moment;
 use jb_policy::place;
-use jb_policy::poison::{Content, Engine, Evidence, Ledger, Row, Verdict};
+use jb_policy::poison::{Fingerprint, EngineId, Evidence, Ledger, Row, Verdict};
 use jb_protocol::{event, id};
 use jb_wire::peer::Suspect;
 use tokio::io::AsyncReadExt;
@@ -39,7 +39,7 @@
     }
 
     /// What is known of a request, which is worked out only once an engine has ended.
-    pub fn verdict(&self, content: impl FnOnce() -> Content, now: Moment) -> Verdict {
+    pub fn verdict(&self, content: impl FnOnce() -> Fingerprint, now: Moment) -> Verdict {
         let ledger = self.lock();
         if ledger.is_empty() {
             return Verdict::Unsuspected;
@@ -48,23 +48,23 @@
     }
 
     /// Engines that have a suspect.
-    pub fn trials(&self, now: Moment) -> Vec<Engine> {
+    pub fn trials(&self, now: Moment) -> Vec<EngineId> {
         self.lock().trials(now)
     }
 
     /// Notes that an engine gets a suspect; `false` when another try of it is under way.
-    pub fn begin(&self, content: Content, engine: Engine, now: Moment) -> bool {
+    pub fn begin(&self, content: Fingerprint, engine: EngineId, now: Moment) -> bool {
         let mut ledger = self.lock();
-        let free = !ledger.is_tried(content, now);
+        let free = !ledger.has_trial(content, now);
         if free {
-            ledger.begin(content, engine, now);
+            ledger.begin_trial(content, engine, now);
         }
         free
     }
 
     /// Notes that an engine no longer has a suspect.
-    pub fn end(&self, content: Content, engine: Engine) {
-        self.lock().end(content, engine);
+    pub fn end(&self, content: Fingerprint, engine: EngineId) {
+        self.lock().end_trial(content, engine);
     }
 
     /// Returns the most dangerous requests, for another box.
@@ -74,7 +74,7 @@
             return Vec::new();
         }
         ledger.forget(now);
-        let rows = ledger.dangerous(now).into_iter().take(MAX_PER_PROBE);
+        let rows = ledger.suspects(now).into_iter().take(MAX_PER_PROBE);
         rows.map(|row| to_wire(&row, now)).collect()
     }
 }
@@ -82,26 +82,26 @@
 fn to_wire(row: &Row, now: Moment) -> Suspect {
     let age = now.saturating_sub(row.at);
     Suspect {
-        content: row.content.0.to_le_bytes().to_vec(),
+        content: row.fingerprint.0.to_le_bytes().to_vec(),
         age_ms: u64::try_from(age.as_millis()).unwrap_or(u64::MAX),
-        ended: row.evidence.ended().collect(),
+        ended: row.evidence.crashed().collect(),
         isolated: row.evidence.isolated().collect(),
-        well: row.evidence.well().collect(),
+        well: row.evidence.completed().collect(),
     }
 }
 
 fn from_wire(received: &Suspect, now: Moment) -> Option<Row> {
     let content = u128::from_le_bytes(received.content.as_slice().try_into().ok()?);
     Some(Row {
-        content: Content(content),
-        evidence: Evidence::received(&received.ended, &received.isolated, &received.well),
+        fingerprint: Fingerprint(content),
+        evidence: Evidence::from_parts(&received.ended, &received.isolated, &received.well),
         at: now.saturating_sub(Duration::from_millis(received.age_ms)),
     })
 }
 
 /// Short name of an engine instance; one whose incarnation isn't known yet is one
 /// of its own.
-pub fn engine(upstream: &str, incarnation: Option<id::Incarnation>) -> Engine {
+pub fn engine(upstream: &str, incarnation: Option<id::Incarnation>) -> EngineId {
     let instance = incarnation.unwrap_or_default();
     place::short(place::weight(place::name_hash(upstream), instance))
 }
@@ -115,12 +115,12 @@
 }
 
 /// Notes what an engine has shown of a request.
-pub fn note(context: &Context, content: Content, evidence: Evidence) {
+pub fn note(context: &Context, content: Fingerprint, evidence: Evidence) {
     let at = context.clock.now();
     take(
         context,
         &Row {
-            content,
+            fingerprint: content,
             evidence,
             at,
         },
@@ -128,11 +128,11 @@
 }
 
 fn take(context: &Context, row: &Row) {
-    let change = context.quarantine.lock().take(row, context.clock.now());
+    let change = context.quarantine.lock().merge(row, context.clock.now());
     let Some(change) = change.filter(|change| change.before != change.after) else {
         return;
     };
-    let content = row.content;
+    let content = row.fingerprint;
     match change.after {
         Verdict::Unsuspected => emit!(context.logger, info, event::REQUEST_CLEARED, "content" => %content),
         Verdict::Suspected => emit!(context.logger, warn, event::REQUEST_SUSPECTED, "content" => %content),
--- a/crates/jb-daemon/src/run/session/isolation.rs
+++ b/crates/jb-daemon/src/run/session/isolation.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use jb_policy::poison::{Content, Engine, Evidence, Verdict};
+use jb_policy::poison::{EngineId, Evidence, Fingerprint, Verdict};
 use jb_protocol::error::Kind;
 
 use super::Session;
@@ -14,9 +14,9 @@
 const MAX_NEIGHBOURS: usize = 16;
 
 impl Session {
-    fn content(&self) -> Content {
+    fn content(&self) -> Fingerprint {
         let request = &self.request;
-        Content::new(&request.customer, &[request.endpoint.as_bytes()], &request.body)
+        Fingerprint::new(&request.customer, &[request.endpoint.as_bytes()], &request.body)
     }
 
     pub(super) fn verdict(&self) -> Verdict {
@@ -34,7 +34,7 @@
 
     /// Notes that an engine gets a suspect, where it is one; `false` when another try of it is under
     /// way, or the engine has another suspect.
-    pub(super) fn begin_isolated(&mut self, engine: Engine) -> bool {
+    pub(super) fn begin_isolated(&mut self, engine: EngineId) -> bool {
         if self.verdict() != Verdict::Suspected {
             return true;
         }
@@ -67,7 +67,7 @@
             .filter(|u| u.hall == config.hall && u.id != config.id && !self.tried.contains(&u.id));
         let neighbours: Vec<SocketAddr> = near.take(MAX_NEIGHBOURS).map(|u| u.address).collect();
         if quarantine::has_ended(config.address, &neighbours).await {
-            let evidence = Evidence::of_end(upstream.instance, self.isolated.is_some());
+            let evidence = Evidence::from_crash(upstream.instance, self.isolated.is_some());
             quarantine::note(&self.context, self.content(), evidence);
         }
     }
@@ -77,7 +77,7 @@
         if let (Some(Attempt::Engine(_)), Some(upstream)) = (&self.attempt, &self.last_engine)
             && self.verdict() != Verdict::Unsuspected
         {
-            quarantine::note(&self.context, self.content(), Evidence::of_run(upstream.instance));
+            quarantine::note(&self.context, self.content(), Evidence::from_completion(upstream.instance));
         }
     }
 }
--- a/crates/jb-daemon/src/run/session/mod.rs
+++ b/crates/jb-daemon/src/run/session/mod.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use jb_policy::call::{Call, Denied, Refusal, Sent, Streaming, Unsent};
-use jb_policy::poison::Engine;
+use jb_policy::poison::EngineId;
 use jb_protocol::error::Kind;
 use jb_protocol::{event, id};
 
@@ -77,14 +77,14 @@
     /// Engine of the last attempt in the own hall.
     last_engine: Option<LastEngine>,
     /// Engine that has the request as the only suspect there.
-    isolated: Option<Engine>,
+    isolated: Option<EngineId>,
 }
 
 /// Engine of the last attempt.
 #[derive(Clone, Debug)]
 struct LastEngine {
     id: id::Upstream,
-    instance: Engine,
+    instance: EngineId,
 }
 
 impl Drop for Session {
--- a/crates/jb-daemon/src/run/session/pick.rs
+++ b/crates/jb-daemon/src/run/session/pick.rs
@@ -5,7 +5,7 @@
 use jb_policy::cell;
 use jb_policy::hall;
 use jb_policy::member::Member;
-use jb_policy::poison::{Engine, Verdict};
+use jb_policy::poison::{EngineId, Verdict};
 use jb_policy::route::{Ask, Permit};
 use jb_protocol::error::Kind;
 use jb_protocol::id;
@@ -22,7 +22,7 @@
     Engine {
         upstream: id::Upstream,
         /// Its present life.
-        instance: Engine,
+        instance: EngineId,
         permit: Permit,
         ticket: Ticket,
     },
--- a/crates/jb-policy/src/poison/content.rs
+++ b/crates/jb-policy/src/poison/fingerprint.rs
@@ -10,9 +10,9 @@
 /// It is a hash, so that no body is stored. The caller is a part of it, so that nobody can bring
 /// another caller's requests into suspicion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Content(pub u128);
+pub struct Fingerprint(pub u128);
 
-impl Content {
+impl Fingerprint {
     /// The content of a request; `path` in pieces, such as host and target.
     pub fn new(caller: &str, path: &[&[u8]], body: &[u8]) -> Self {
         let mut hash = Sha256::new();
@@ -27,7 +27,7 @@
     }
 }
 
-impl std::fmt::Display for Content {
+impl std::fmt::Display for Fingerprint {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{:032x}", self.0)
     }
--- a/crates/jb-policy/src/poison/ledger.rs
+++ b/crates/jb-policy/src/poison/ledger.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-use super::{Content, Engine, Evidence};
+use super::{Fingerprint, EngineId, Evidence};
 use crate::Moment;
 
 /// Requests that are remembered.
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
     /// The request.
-    pub content: Content,
+    pub fingerprint: Fingerprint,
     /// The evidence.
     pub evidence: Evidence,
     /// Moment of the last evidence.
@@ -56,19 +56,19 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Trial {
-    engine: Engine,
+    engine: EngineId,
     until: Moment,
 }
 
 /// All requests under which engines have crashed, as one box knows them.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    entries: HashMap<Content, Entry>,
+    entries: HashMap<Fingerprint, Entry>,
     /// Requests that are poison unless others have caused their crashes.
-    accused: BTreeSet<Content>,
-    quarantined: BTreeSet<Content>,
+    accused: BTreeSet<Fingerprint>,
+    quarantined: BTreeSet<Fingerprint>,
     /// Crashes that are attributed to quarantined requests.
-    attributed: BTreeSet<Engine>,
+    attributed: BTreeSet<EngineId>,
 }
 
 impl Ledger {
@@ -78,56 +78,56 @@
     }
 
     /// What is known of a request.
-    pub fn verdict(&self, content: Content, now: Moment) -> Verdict {
+    pub fn verdict(&self, fingerprint: Fingerprint, now: Moment) -> Verdict {
         let fresh = |entry: &&Entry| now < entry.at + RETENTION;
-        match self.entries.get(&content).filter(fresh) {
-            Some(_) if self.quarantined.contains(&content) => Verdict::Quarantined,
+        match self.entries.get(&fingerprint).filter(fresh) {
+            Some(_) if self.quarantined.contains(&fingerprint) => Verdict::Quarantined,
             Some(entry) if entry.evidence.is_suspect(&self.attributed) => Verdict::Suspected,
             _ => Verdict::Unsuspected,
         }
     }
 
     /// Merges evidence; returns nothing if it adds nothing.
-    pub fn take(&mut self, row: &Row, now: Moment) -> Option<Change> {
+    pub fn merge(&mut self, row: &Row, now: Moment) -> Option<Change> {
         if now >= row.at + RETENTION {
             return None;
         }
-        let content = row.content;
-        let before = self.verdict(content, now);
-        let entry = self.entries.entry(content).or_insert_with(|| Entry {
+        let fingerprint = row.fingerprint;
+        let before = self.verdict(fingerprint, now);
+        let entry = self.entries.entry(fingerprint).or_insert_with(|| Entry {
             evidence: Evidence::default(),
             at: row.at,
             trial: None,
         });
-        if !entry.evidence.join(&row.evidence) {
+        if !entry.evidence.merge(&row.evidence) {
             return None;
         }
         entry.at = entry.at.max(row.at);
         if entry.evidence.is_poison(&BTreeSet::new()) {
-            self.accused.insert(content);
+            self.accused.insert(fingerprint);
         } else {
-            self.accused.remove(&content);
+            self.accused.remove(&fingerprint);
         }
         self.bound(now);
         self.resolve();
-        let after = self.verdict(content, now);
+        let after = self.verdict(fingerprint, now);
         Some(Change { before, after })
     }
 
     /// Attributes crashes to requests: first to the one with the strongest evidence, then to others by what
     /// is left. One whose crashes are all attributed to others isn't poison.
     fn resolve(&mut self) {
-        let evidence = |content: &Content| self.entries.get(content).map(|entry| &entry.evidence);
+        let evidence = |fingerprint: &Fingerprint| self.entries.get(fingerprint).map(|entry| &entry.evidence);
         let known = self
             .accused
             .iter()
-            .filter_map(|content| Some((*content, evidence(content)?)));
-        let mut accused: Vec<(Content, &Evidence)> = known.collect();
-        accused.sort_by_key(|(content, evidence)| std::cmp::Reverse((evidence.strength(), *content)));
-        let mut quarantined: Vec<(Content, &Evidence)> = Vec::new();
-        for (content, evidence) in accused {
+            .filter_map(|fingerprint| Some((*fingerprint, evidence(fingerprint)?)));
+        let mut accused: Vec<(Fingerprint, &Evidence)> = known.collect();
+        accused.sort_by_key(|(fingerprint, evidence)| std::cmp::Reverse((evidence.strength(), *fingerprint)));
+        let mut quarantined: Vec<(Fingerprint, &Evidence)> = Vec::new();
+        for (fingerprint, evidence) in accused {
             if evidence.is_poison(&ended_by(&quarantined)) {
-                quarantined.push((content, evidence));
+                quarantined.push((fingerprint, evidence));
             }
         }
         for at in (0..quarantined.len()).rev() {
@@ -137,7 +137,7 @@
             }
         }
         let attributed = ended_by(&quarantined);
-        self.quarantined = quarantined.into_iter().map(|(content, _)| content).collect();
+        self.quarantined = quarantined.into_iter().map(|(fingerprint, _)| fingerprint).collect();
         self.attributed = attributed;
     }
 
@@ -145,7 +145,7 @@
     pub fn forget(&mut self, now: Moment) {
         self.entries.retain(|_, entry| now < entry.at + RETENTION);
         let entries = &self.entries;
-        self.accused.retain(|content| entries.contains_key(content));
+        self.accused.retain(|fingerprint| entries.contains_key(fingerprint));
         self.resolve();
     }
 
@@ -155,93 +155,93 @@
         if self.entries.len() <= MAX_REQUESTS {
             return;
         }
-        let rank = |content: &Content, entry: &Entry| (self.verdict(*content, now), entry.at, *content);
-        let ranked = self.entries.iter().map(|(content, entry)| rank(content, entry));
-        let mut ranked: Vec<(Verdict, Moment, Content)> = ranked.collect();
+        let rank = |fingerprint: &Fingerprint, entry: &Entry| (self.verdict(*fingerprint, now), entry.at, *fingerprint);
+        let ranked = self.entries.iter().map(|(fingerprint, entry)| rank(fingerprint, entry));
+        let mut ranked: Vec<(Verdict, Moment, Fingerprint)> = ranked.collect();
         ranked.sort_unstable();
-        for (_, _, content) in ranked.into_iter().take(EVICTION_BATCH) {
-            self.entries.remove(&content);
-            self.accused.remove(&content);
+        for (_, _, fingerprint) in ranked.into_iter().take(EVICTION_BATCH) {
+            self.entries.remove(&fingerprint);
+            self.accused.remove(&fingerprint);
         }
     }
 
     /// Returns whether any engine has crashed under a request.
-    pub fn knows(&self, content: Content) -> bool {
-        self.entries.contains_key(&content)
+    pub fn contains(&self, fingerprint: Fingerprint) -> bool {
+        self.entries.contains_key(&fingerprint)
     }
 
     /// Time after which a quarantined request is released, if there is no new evidence.
-    pub fn forgotten_after(&self, content: Content, now: Moment) -> Duration {
-        let entry = self.entries.get(&content);
+    pub fn retention_left(&self, fingerprint: Fingerprint, now: Moment) -> Duration {
+        let entry = self.entries.get(&fingerprint);
         entry.map_or(Duration::ZERO, |entry| (entry.at + RETENTION).saturating_sub(now))
     }
 
     /// Notes that an engine gets a suspect.
-    pub fn begin(&mut self, content: Content, engine: Engine, now: Moment) {
-        if let Some(entry) = self.entries.get_mut(&content) {
+    pub fn begin_trial(&mut self, fingerprint: Fingerprint, engine: EngineId, now: Moment) {
+        if let Some(entry) = self.entries.get_mut(&fingerprint) {
             let until = now + TRIAL_TIMEOUT;
             entry.trial = Some(Trial { engine, until });
         }
     }
 
     /// Notes that an engine no longer has a suspect.
-    pub fn end(&mut self, content: Content, engine: Engine) {
-        if let Some(entry) = self.entries.get_mut(&content) {
+    pub fn end_trial(&mut self, fingerprint: Fingerprint, engine: EngineId) {
+        if let Some(entry) = self.entries.get_mut(&fingerprint) {
             entry.trial = entry.trial.filter(|trial| trial.engine != engine);
         }
     }
 
     /// Returns whether a trial of the request is under way.
-    pub fn is_tried(&self, content: Content, now: Moment) -> bool {
-        let entry = self.entries.get(&content);
+    pub fn has_trial(&self, fingerprint: Fingerprint, now: Moment) -> bool {
+        let entry = self.entries.get(&fingerprint);
         entry.is_some_and(|entry| entry.trial.is_some_and(|trial| now < trial.until))
     }
 
     /// Engines with a trial.
-    pub fn trials(&self, now: Moment) -> Vec<Engine> {
+    pub fn trials(&self, now: Moment) -> Vec<EngineId> {
         let trials = self.entries.values().filter_map(|entry| entry.trial);
         let open = trials.filter(|trial| now < trial.until);
         open.map(|trial| trial.engine).collect()
     }
 
     /// Engines that have crashed while they ran a request.
-    pub fn ended(&self, content: Content) -> BTreeSet<Engine> {
-        let entry = self.entries.get(&content);
+    pub fn crashed_engines(&self, fingerprint: Fingerprint) -> BTreeSet<EngineId> {
+        let entry = self.entries.get(&fingerprint);
         entry
-            .map(|entry| entry.evidence.ended().collect())
+            .map(|entry| entry.evidence.crashed().collect())
             .unwrap_or_default()
     }
 
     /// What is known of a request.
-    pub fn row(&self, content: Content) -> Option<Row> {
-        let entry = self.entries.get(&content)?;
+    pub fn row(&self, fingerprint: Fingerprint) -> Option<Row> {
+        let entry = self.entries.get(&fingerprint)?;
         Some(Row {
-            content,
+            fingerprint,
             evidence: entry.evidence.clone(),
             at: entry.at,
         })
     }
 
     /// Requests that other boxes must know of, the quarantined ones first.
-    pub fn dangerous(&self, now: Moment) -> Vec<Row> {
+    pub fn suspects(&self, now: Moment) -> Vec<Row> {
         let ranked = self
             .entries
             .keys()
-            .map(|content| (self.verdict(*content, now), *content));
-        let mut known: Vec<(Verdict, Content)> = ranked
+            .map(|fingerprint| (self.verdict(*fingerprint, now), *fingerprint));
+        let mut known: Vec<(Verdict, Fingerprint)> = ranked
             .filter(|(verdict, _)| *verdict != Verdict::Unsuspected)
             .collect();
         known.sort_unstable_by(|a, b| b.cmp(a));
         known
             .into_iter()
-            .filter_map(|(_, content)| self.row(content))
+            .filter_map(|(_, fingerprint)| self.row(fingerprint))
             .collect()
     }
 }
 
-fn ended_by(quarantined: &[(Content, &Evidence)]) -> BTreeSet<Engine> {
+fn ended_by(quarantined: &[(Fingerprint, &Evidence)]) -> BTreeSet<EngineId> {
     quarantined
         .iter()
-        .flat_map(|(_, evidence)| evidence.ended())
+        .flat_map(|(_, evidence)| evidence.crashed())
         .collect()
 }
--- a/crates/jb-policy/src/poison/mod.rs
+++ b/crates/jb-policy/src/poison/mod.rs
@@ -7,10 +7,10 @@
 //!
 //! Boxes exchange evidence, which only grows: the verdict doesn't depend on the order of messages.
 
-mod content;
+mod fingerprint;
 mod evidence;
 mod ledger;
 
-pub use content::Content;
-pub use evidence::{Engine, Evidence};
+pub use fingerprint::Fingerprint;
+pub use evidence::{EngineId, Evidence};
 pub use ledger::{Change, Ledger, RETENTION, Row, Verdict};
--- a/crates/jb-policy/tests/poison.rs
+++ b/crates/jb-policy/tests/poison.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use jb_policy::poison::{Content, Engine, Evidence, Ledger, Row, Verdict};
+use jb_policy::poison::{Fingerprint, EngineId, Evidence, Ledger, Row, Verdict};
 use quickcheck::{Gen, QuickCheck};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -15,30 +15,30 @@
 
 fn row(content: u128, evidence: Evidence) -> Row {
     Row {
-        content: Content(content),
+        fingerprint: Fingerprint(content),
         evidence,
         at: NOW,
     }
 }
 
-fn ended(content: u128, engine: Engine) -> Row {
-    row(content, Evidence::of_end(engine, false))
+fn ended(content: u128, engine: EngineId) -> Row {
+    row(content, Evidence::from_crash(engine, false))
 }
 
-fn ended_apart(content: u128, engine: Engine) -> Row {
-    row(content, Evidence::of_end(engine, true))
+fn ended_apart(content: u128, engine: EngineId) -> Row {
+    row(content, Evidence::from_crash(engine, true))
 }
 
 fn ledger(rows: &[Row]) -> Ledger {
     let mut ledger = Ledger::default();
     for row in rows {
-        ledger.take(row, NOW);
+        ledger.merge(row, NOW);
     }
     ledger
 }
 
 fn verdict(ledger: &Ledger, content: u128) -> Verdict {
-    ledger.verdict(Content(content), NOW)
+    ledger.verdict(Fingerprint(content), NOW)
 }
 
 #[test]
@@ -59,7 +59,7 @@
 
 #[test]
 fn good_run_clears_a_suspect() {
-    let rows = [ended(1, 1), ended(1, 2), row(1, Evidence::of_run(3))];
+    let rows = [ended(1, 1), ended(1, 2), row(1, Evidence::from_completion(3))];
     assert_eq!(verdict(&ledger(&rows), 1), Verdict::Unsuspected);
 }
 
@@ -82,28 +82,28 @@
 #[test]
 fn request_is_tried_at_one_engine_at_a_time_until_the_try_is_over_or_too_old() {
     let mut ledger = ledger(&[ended(1, 1), ended(1, 2)]);
-    let content = Content(1);
-    ledger.begin(content, 7, NOW);
-    assert!(ledger.is_tried(content, NOW));
+    let content = Fingerprint(1);
+    ledger.begin_trial(content, 7, NOW);
+    assert!(ledger.has_trial(content, NOW));
     assert_eq!(ledger.trials(NOW), [7]);
-    ledger.end(content, 8);
-    assert!(ledger.is_tried(content, NOW), "another try's end");
-    assert!(!ledger.is_tried(content, NOW + Duration::from_secs(6)));
-    ledger.end(content, 7);
-    assert!(!ledger.is_tried(content, NOW));
+    ledger.end_trial(content, 8);
+    assert!(ledger.has_trial(content, NOW), "another try's end");
+    assert!(!ledger.has_trial(content, NOW + Duration::from_secs(6)));
+    ledger.end_trial(content, 7);
+    assert!(!ledger.has_trial(content, NOW));
 }
 
 #[test]
 fn shown_request_is_forgotten_ten_minutes_after_the_last_engine_it_ended() {
     let quarantined = ledger(&[ended(1, 1), ended(1, 2), ended_apart(1, 3)]);
     let later = NOW + Duration::from_secs(599);
-    assert_eq!(quarantined.verdict(Content(1), later), Verdict::Quarantined);
+    assert_eq!(quarantined.verdict(Fingerprint(1), later), Verdict::Quarantined);
     assert_eq!(
-        quarantined.forgotten_after(Content(1), later),
+        quarantined.retention_left(Fingerprint(1), later),
         Duration::from_secs(1)
     );
     let later = later + Duration::from_secs(1);
-    assert_eq!(quarantined.verdict(Content(1), later), Verdict::Unsuspected);
+    assert_eq!(quarantined.verdict(Fingerprint(1), later), Verdict::Unsuspected);
 }
 
 /// All engines of a large fleet end at once, with everything that runs there.
@@ -120,7 +120,7 @@
     let ledger = ledger(&rows);
     assert_eq!(verdict(&ledger, 1), Verdict::Quarantined);
     assert_eq!(verdict(&ledger, 2), Verdict::Suspected);
-    assert_eq!(ledger.dangerous(NOW).len(), 2);
+    assert_eq!(ledger.suspects(NOW).len(), 2);
 }
 
 /// Tries a property on the same seeds each time.
@@ -136,7 +136,7 @@
     let content = rng.random_range(0..6);
     let engine = rng.random_range(0..12);
     match rng.random_range(0..8) {
-        0 => row(content, Evidence::of_run(engine)),
+        0 => row(content, Evidence::from_completion(engine)),
         1 | 2 => ended_apart(content, engine),
         _ => ended(content, engine),
     }
@@ -153,11 +153,11 @@
         let again = rows[..rows.len() / 2].to_vec();
         let mut second = ledger(&rows);
         again.iter().for_each(|row| {
-            second.take(row, NOW);
+            second.merge(row, NOW);
         });
         let third = ledger(
             &(0..6)
-                .filter_map(|content| second.row(Content(content)))
+                .filter_map(|content| second.row(Fingerprint(content)))
                 .collect::<Vec<_>>(),
         );
         (0..6).all(|content| {
@@ -186,7 +186,7 @@
             Verdict::Quarantined => continue,
             verdict => verdict == Verdict::Suspected,
         };
-        let mut fell = vec![row(ends, Evidence::of_end(engine, isolated))];
+        let mut fell = vec![row(ends, Evidence::from_crash(engine, isolated))];
         let mut suspects = u32::from(isolated);
         for (innocent, left) in INNOCENT.zip(&mut left) {
             let suspected = verdict(&ledger, innocent) == Verdict::Suspected;
@@ -194,11 +194,11 @@
             if beside && verdict(&ledger, innocent) != Verdict::Quarantined {
                 *left -= 1;
                 suspects += u32::from(suspected);
-                fell.push(row(innocent, Evidence::of_end(engine, suspected)));
+                fell.push(row(innocent, Evidence::from_crash(engine, suspected)));
             }
         }
         for row in fell {
-            ledger.take(&row, NOW);
+            ledger.merge(&row, NOW);
         }
     }
     (poison, ledger)
@@ -221,8 +221,8 @@
         let (poison, ledger) = crashes(seed);
         let ended = |content| {
             ledger
-                .row(Content(content))
-                .map_or(0, |row| row.evidence.ended().count())
+                .row(Fingerprint(content))
+                .map_or(0, |row| row.evidence.crashed().count())
         };
         poison.into_iter().all(|content| ended(content) <= 6)
     }
@@ -231,13 +231,13 @@
 
 #[test]
 fn content_names_caller_path_and_body_and_no_other_split_of_them() {
-    let content = Content::new("ann", &[b"shop", b"/a"], b"body");
-    assert_eq!(content, Content::new("ann", &[b"shop", b"/a"], b"body"));
+    let content = Fingerprint::new("ann", &[b"shop", b"/a"], b"body");
+    assert_eq!(content, Fingerprint::new("ann", &[b"shop", b"/a"], b"body"));
     for other in [
-        Content::new("bob", &[b"shop", b"/a"], b"body"),
-        Content::new("ann", &[b"shop", b"/ab"], b"ody"),
-        Content::new("ann", &[b"shop", b"/a"], b"bodies"),
-        Content::new("anns", &[b"hop", b"/a"], b"body"),
+        Fingerprint::new("bob", &[b"shop", b"/a"], b"body"),
+        Fingerprint::new("ann", &[b"shop", b"/ab"], b"ody"),
+        Fingerprint::new("ann", &[b"shop", b"/a"], b"bodies"),
+        Fingerprint::new("anns", &[b"hop", b"/a"], b"body"),
     ] {
         assert_ne!(content, other);
     }
--- a/crates/jb-relay/src/attempt.rs
+++ b/crates/jb-relay/src/attempt.rs
@@ -5,7 +5,7 @@
 
 use bytes::{Bytes, BytesMut};
 use jb_policy::Moment;
-use jb_policy::poison::Content;
+use jb_policy::poison::Fingerprint;
 
 use crate::core::{Core, Shared};
 use crate::http::{self, Answer, Body, Framing, Query, Step, write_query};
@@ -73,10 +73,10 @@
 
 impl Message<'_> {
     /// What it asks, as other boxes and later tries of its caller name it.
-    pub fn content(&self) -> Content {
+    pub fn content(&self) -> Fingerprint {
         let host = self.query.headers.get("host").unwrap_or_default();
         let caller = self.ticket.customer.as_deref().unwrap_or_default();
-        Content::new(caller, &[host, &self.query.target], self.body)
+        Fingerprint::new(caller, &[host, &self.query.target], self.body)
     }
 }
 
--- a/crates/jb-relay/src/exchange/isolation.rs
+++ b/crates/jb-relay/src/exchange/isolation.rs
@@ -61,7 +61,7 @@
     }
 
     /// What the request asks, as other boxes and later tries name it.
-    pub(super) fn content(&self) -> poison::Content {
+    pub(super) fn content(&self) -> poison::Fingerprint {
         *self.content.get_or_init(|| self.message.content())
     }
 
@@ -72,7 +72,7 @@
             .core
             .quarantine
             .ledger()
-            .forgotten_after(content, self.core.now());
+            .retention_left(content, self.core.now());
         self.core.metrics.quarantined.inc();
         Refused {
             why: "ends_engines",
@@ -89,10 +89,10 @@
         let now = core.now();
         let (trials, ended) = {
             let ledger = core.quarantine.ledger();
-            if ledger.is_tried(content, now) {
+            if ledger.has_trial(content, now) {
                 return None;
             }
-            (ledger.trials(now), ledger.ended(content))
+            (ledger.trials(now), ledger.crashed_engines(content))
         };
         let ticket = self.message.ticket;
         let wanted = place::wanted(core, ticket, self.message.body, &self.tried, Among::Sure);
--- a/crates/jb-relay/src/exchange/run.rs
+++ b/crates/jb-relay/src/exchange/run.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use jb_policy::Moment;
-use jb_policy::poison::Content;
+use jb_policy::poison::Fingerprint;
 use jb_protocol::{emit, event};
 use tokio::time::sleep;
 
@@ -56,7 +56,7 @@
     /// Why it goes to no engine now.
     pub(super) refused: Option<Refused>,
     /// What it asks, once that was worked out.
-    pub(super) content: OnceCell<Content>,
+    pub(super) content: OnceCell<Fingerprint>,
     /// Where the end of the request is noted for the engine's account.
     pub(super) ending: Option<Rc<Cell<peers::Ending>>>,
     pub(super) pace: Pace,
--- a/crates/jb-relay/src/peers/quarantine_record.rs
+++ b/crates/jb-relay/src/peers/quarantine_record.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use jb_policy::place;
-use jb_policy::poison::{Content, RETENTION, Verdict};
+use jb_policy::poison::{Fingerprint, RETENTION, Verdict};
 use jb_protocol::{emit, event};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
@@ -26,12 +26,12 @@
 /// Pause between two of them.
 const AGAIN: Duration = Duration::from_secs(2);
 
-fn key(content: Content) -> String {
+fn key(content: Fingerprint) -> String {
     format!("{KEYS}{content}")
 }
 
 /// Whether a request is quarantined and the store has no record of it.
-pub(super) fn is_due(core: &Core, content: Content) -> bool {
+pub(super) fn is_due(core: &Core, content: Fingerprint) -> bool {
     let quarantined = core.quarantine.ledger().verdict(content, core.now()) == Verdict::Quarantined;
     let own = core.own.borrow();
     let is_there = own.get(&key(content)).is_some_and(|item| item.value.is_some());
@@ -40,10 +40,10 @@
 
 /// Writes the records again that a restored store lacks and this box owns.
 pub(super) fn write_lost(core: &Shared) {
-    let known = core.quarantine.ledger().dangerous(core.now());
+    let known = core.quarantine.ledger().suspects(core.now());
     let lost = known
         .iter()
-        .map(|row| row.content)
+        .map(|row| row.fingerprint)
         .filter(|content| is_due(core, *content) && owns(core, *content));
     for content in lost {
         spawn_local(write(Rc::clone(core), content));
@@ -51,14 +51,14 @@
 }
 
 /// Whether this box is the one of the fleet that owns a record.
-fn owns(core: &Core, content: Content) -> bool {
+fn owns(core: &Core, content: Fingerprint) -> bool {
     let key = place::name_hash(&key(content));
     let owner = core.book.borrow().fleet_owner(key, core.now());
     owner.is_none_or(|(id, _)| id == core.settings.id)
 }
 
 /// Writes the mark of a request.
-pub(super) async fn write(core: Shared, content: Content) {
+pub(super) async fn write(core: Shared, content: Fingerprint) {
     for _ in 0..TRIES {
         if !is_due(&core, content) {
             return;
@@ -73,7 +73,7 @@
     }
 }
 
-async fn try_write(core: &Core, content: Content) -> Result<(), StoreError> {
+async fn try_write(core: &Core, content: Fingerprint) -> Result<(), StoreError> {
     let Some(row) = core.quarantine.ledger().row(content) else {
         return Ok(());
     };
--- a/crates/jb-relay/src/peers/suspicion.rs
+++ b/crates/jb-relay/src/peers/suspicion.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use jb_policy::poison::{Content, Evidence, Row};
+use jb_policy::poison::{Fingerprint, Evidence, Row};
 use tokio::net::UdpSocket;
 use tokio::task::spawn_local;
 use tokio::time::timeout;
@@ -64,7 +64,7 @@
 }
 
 async fn broadcast_dangerous(core: &Core, socket: &UdpSocket) {
-    let rows = core.quarantine.ledger().dangerous(core.now());
+    let rows = core.quarantine.ledger().suspects(core.now());
     let suspects = rows.iter().map(|row| suspect(core, row, None));
     let messages: Vec<Message> = messages(suspects).into_iter().take(MAX_DATAGRAMS).collect();
     if messages.is_empty() {
@@ -93,11 +93,11 @@
 pub(super) fn suspect(core: &Core, row: &Row, trial: Option<Trial>) -> Suspect {
     let age = core.now().saturating_sub(row.at);
     Suspect {
-        content: row.content.0,
+        content: row.fingerprint.0,
         age_ms: u64::try_from(age.as_millis()).unwrap_or(u64::MAX),
-        ended: row.evidence.ended().collect(),
+        ended: row.evidence.crashed().collect(),
         isolated: row.evidence.isolated().collect(),
-        well: row.evidence.well().collect(),
+        well: row.evidence.completed().collect(),
         trial,
     }
 }
@@ -117,7 +117,7 @@
         receive_suspect(core, suspect);
         if let Some(trial) = suspect.trial {
             core.quarantine
-                .apply_trial(Content(suspect.content), trial, core.now());
+                .apply_trial(Fingerprint(suspect.content), trial, core.now());
         }
     }
 }
@@ -126,8 +126,8 @@
 pub(super) fn receive_suspect(core: &Core, suspect: &Suspect) {
     let age = Duration::from_millis(suspect.age_ms);
     let row = Row {
-        content: Content(suspect.content),
-        evidence: Evidence::received(&suspect.ended, &suspect.isolated, &suspect.well),
+        fingerprint: Fingerprint(suspect.content),
+        evidence: Evidence::from_parts(&suspect.ended, &suspect.isolated, &suspect.well),
         at: core.now().saturating_sub(age),
     };
     quarantine::apply(core, &row);
--- a/crates/jb-relay/src/quarantine.rs
+++ b/crates/jb-relay/src/quarantine.rs
@@ -5,7 +5,7 @@
 
 use jb_policy::Moment;
 use jb_policy::place;
-use jb_policy::poison::{Change, Content, Engine, Evidence, Ledger, Row, Verdict};
+use jb_policy::poison::{Change, Fingerprint, EngineId, Evidence, Ledger, Row, Verdict};
 use jb_protocol::{emit, event};
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct News {
     /// The request.
-    pub content: Content,
+    pub content: Fingerprint,
     /// A trial that this box has begun or ended, if there is one.
     pub trial: Option<Trial>,
 }
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trial {
     /// Short name of the engine.
-    pub engine: Engine,
+    pub engine: EngineId,
     /// Whether it is over.
     pub over: bool,
 }
@@ -70,36 +70,36 @@
     }
 
     /// Applies a trial of another box.
-    pub fn apply_trial(&self, content: Content, trial: Trial, now: Moment) {
+    pub fn apply_trial(&self, content: Fingerprint, trial: Trial, now: Moment) {
         let mut ledger = self.ledger.borrow_mut();
         if trial.over {
-            ledger.end(content, trial.engine);
+            ledger.end_trial(content, trial.engine);
         } else {
-            ledger.begin(content, trial.engine, now);
+            ledger.begin_trial(content, trial.engine, now);
         }
     }
 }
 
 /// Name under which boxes speak of a life.
-pub fn engine(instance: &Instance) -> Engine {
+pub fn engine(instance: &Instance) -> EngineId {
     place::short(instance.name())
 }
 
 /// Notes that an engine has ended while it ran a request; `apart`: as the only suspect there.
-pub fn note_end(core: &Core, content: Content, instance: &Instance, isolated: bool) {
-    note(core, content, Evidence::of_end(engine(instance), isolated));
+pub fn note_end(core: &Core, content: Fingerprint, instance: &Instance, isolated: bool) {
+    note(core, content, Evidence::from_crash(engine(instance), isolated));
 }
 
 /// Notes that an engine has run a request to a good end, where that is evidence.
-pub fn note_run(core: &Core, content: Content, instance: &Instance) {
-    if core.quarantine.ledger().knows(content) {
-        note(core, content, Evidence::of_run(engine(instance)));
+pub fn note_run(core: &Core, content: Fingerprint, instance: &Instance) {
+    if core.quarantine.ledger().contains(content) {
+        note(core, content, Evidence::from_completion(engine(instance)));
     }
 }
 
-fn note(core: &Core, content: Content, evidence: Evidence) {
+fn note(core: &Core, content: Fingerprint, evidence: Evidence) {
     let row = Row {
-        content,
+        fingerprint: content,
         evidence,
         at: core.now(),
     };
@@ -110,20 +110,20 @@
 
 /// Applies evidence of this box or of another one; returns whether it is new.
 pub fn apply(core: &Core, row: &Row) -> bool {
-    let change = core.quarantine.ledger.borrow_mut().take(row, core.now());
+    let change = core.quarantine.ledger.borrow_mut().merge(row, core.now());
     if let Some(change) = change {
-        log(core, row.content, change);
+        log(core, row.fingerprint, change);
     }
     change.is_some()
 }
 
-fn log(core: &Core, content: Content, change: Change) {
+fn log(core: &Core, content: Fingerprint, change: Change) {
     if change.before == change.after {
         return;
     }
     let ledger = core.quarantine.ledger();
     let evidence = ledger.row(content).map(|row| row.evidence).unwrap_or_default();
-    let (ended, well) = (evidence.ended().count(), evidence.well().count());
+    let (ended, well) = (evidence.crashed().count(), evidence.completed().count());
     match change.after {
         Verdict::Unsuspected => {
             emit!(core.logger, info, event::REQUEST_CLEARED, "content" => %content, "ended" => ended, "well" => well);
@@ -142,15 +142,15 @@
 /// A try of a suspect, which is over when dropped.
 pub struct Tried {
     core: Shared,
-    content: Content,
-    engine: Engine,
+    content: Fingerprint,
+    engine: EngineId,
 }
 
 /// Begins a try of a suspect at an engine.
-pub fn begin(core: &Shared, content: Content, instance: &Instance) -> Tried {
+pub fn begin(core: &Shared, content: Fingerprint, instance: &Instance) -> Tried {
     let engine = engine(instance);
     let now = core.now();
-    core.quarantine.ledger.borrow_mut().begin(content, engine, now);
+    core.quarantine.ledger.borrow_mut().begin_trial(content, engine, now);
     let trial = Some(Trial { engine, over: false });
     core.quarantine.enqueue(News { content, trial });
     Tried {
@@ -163,7 +163,7 @@
 impl Drop for Tried {
     fn drop(&mut self) {
         let (content, engine) = (self.content, self.engine);
-        self.core.quarantine.ledger.borrow_mut().end(content, engine);
+        self.core.quarantine.ledger.borrow_mut().end_trial(content, engine);
         let trial = Some(Trial { engine, over: true });
         self.core.quarantine.enqueue(News { content, trial });
     }
