--- a/crates/jb-daemon/src/quarantine.rs
+++ b/crates/jb-daemon/src/quarantine.rs
@@ -8,7 +8,7 @@
 use futures_util::future::select_ok;
 use jb_policy::Moment;
 use jb_policy::place;
-use jb_policy::poison::{Fingerprint, EngineId, Evidence, Ledger, Row, Verdict};
+use jb_policy::poison::{EngineId, Evidence, Fingerprint, Ledger, Row, Verdict};
 use jb_protocol::{event, id};
 use jb_wire::peer::Suspect;
 use tokio::io::AsyncReadExt;
--- a/crates/jb-daemon/src/run/session/isolation.rs
+++ b/crates/jb-daemon/src/run/session/isolation.rs
@@ -77,7 +77,11 @@
         if let (Some(Attempt::Engine(_)), Some(upstream)) = (&self.attempt, &self.last_engine)
             && self.verdict() != Verdict::Unsuspected
         {
-            quarantine::note(&self.context, self.content(), Evidence::from_completion(upstream.instance));
+            quarantine::note(
+                &self.context,
+                self.content(),
+                Evidence::from_completion(upstream.instance),
+            );
         }
     }
 }
--- a/crates/jb-policy/src/health.rs
+++ b/crates/jb-policy/src/health.rs
@@ -36,31 +36,31 @@
     /// Whether the upstream may get a request now.
     ///
     /// After its pause it gets one request at a time until one succeeds.
-    pub fn is_open(&self, now: Moment) -> bool {
+    pub fn is_available(&self, now: Moment) -> bool {
         self.failures < FAILURES || (now >= self.paused_until && !self.trial)
     }
 
     /// Notes that a request is sent.
-    pub fn sent(&mut self) {
+    pub fn note_sent(&mut self) {
         if self.failures >= FAILURES {
             self.trial = true;
         }
     }
 
     /// Notes that a request ended well.
-    pub fn succeeded(&mut self) -> Change {
+    pub fn note_success(&mut self) -> Change {
         let was_out = self.failures >= FAILURES;
         *self = Self::default();
         if was_out { Change::Returned } else { Change::None }
     }
 
     /// Notes that a request ended without telling anything about the upstream.
-    pub fn undecided(&mut self) {
+    pub fn note_inconclusive(&mut self) {
         self.trial = false;
     }
 
     /// Notes that a request failed through the upstream's fault.
-    pub fn failed(&mut self, now: Moment) -> Change {
+    pub fn note_failure(&mut self, now: Moment) -> Change {
         self.trial = false;
         self.failures = self.failures.saturating_add(1);
         if self.failures < FAILURES {
--- a/crates/jb-policy/src/poison/ledger.rs
+++ b/crates/jb-policy/src/poison/ledger.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-use super::{Fingerprint, EngineId, Evidence};
+use super::{EngineId, Evidence, Fingerprint};
 use crate::Moment;
 
 /// Requests that are remembered.
@@ -137,7 +137,10 @@
             }
         }
         let attributed = ended_by(&quarantined);
-        self.quarantined = quarantined.into_iter().map(|(fingerprint, _)| fingerprint).collect();
+        self.quarantined = quarantined
+            .into_iter()
+            .map(|(fingerprint, _)| fingerprint)
+            .collect();
         self.attributed = attributed;
     }
 
@@ -145,7 +148,8 @@
     pub fn forget(&mut self, now: Moment) {
         self.entries.retain(|_, entry| now < entry.at + RETENTION);
         let entries = &self.entries;
-        self.accused.retain(|fingerprint| entries.contains_key(fingerprint));
+        self.accused
+            .retain(|fingerprint| entries.contains_key(fingerprint));
         self.resolve();
     }
 
@@ -155,8 +159,13 @@
         if self.entries.len() <= MAX_REQUESTS {
             return;
         }
-        let rank = |fingerprint: &Fingerprint, entry: &Entry| (self.verdict(*fingerprint, now), entry.at, *fingerprint);
-        let ranked = self.entries.iter().map(|(fingerprint, entry)| rank(fingerprint, entry));
+        let rank = |fingerprint: &Fingerprint, entry: &Entry| {
+            (self.verdict(*fingerprint, now), entry.at, *fingerprint)
+        };
+        let ranked = self
+            .entries
+            .iter()
+            .map(|(fingerprint, entry)| rank(fingerprint, entry));
         let mut ranked: Vec<(Verdict, Moment, Fingerprint)> = ranked.collect();
         ranked.sort_unstable();
         for (_, _, fingerprint) in ranked.into_iter().take(EVICTION_BATCH) {
--- a/crates/jb-policy/src/poison/mod.rs
+++ b/crates/jb-policy/src/poison/mod.rs
@@ -7,10 +7,10 @@
 //!
 //! Boxes exchange evidence, which only grows: the verdict doesn't depend on the order of messages.
 
-mod fingerprint;
 mod evidence;
+mod fingerprint;
 mod ledger;
 
-pub use fingerprint::Fingerprint;
 pub use evidence::{EngineId, Evidence};
+pub use fingerprint::Fingerprint;
 pub use ledger::{Change, Ledger, RETENTION, Row, Verdict};
--- a/crates/jb-policy/src/route/pool.rs
+++ b/crates/jb-policy/src/route/pool.rs
@@ -164,7 +164,7 @@
         let cost = self.prefill(missing);
         let upstream = &mut self.upstreams[best.index];
         upstream.backlog.send(ask.class, cost, now);
-        upstream.health.sent();
+        upstream.health.note_sent();
         upstream.open += 1;
         // What is on its way counts as cached: the next prompt with the same
         // prefix waits behind this one. The answer corrects it.
@@ -245,25 +245,26 @@
 
     /// Notes that a request ended well.
     pub fn succeeded(&mut self, id: &str) -> Change {
-        self.close(id).map_or(Change::None, |u| u.health.succeeded())
+        self.close(id).map_or(Change::None, |u| u.health.note_success())
     }
 
     /// Notes that a request failed through the upstream's fault.
     pub fn failed(&mut self, id: &str, now: Moment) -> Change {
-        self.close(id).map_or(Change::None, |u| u.health.failed(now))
+        self.close(id)
+            .map_or(Change::None, |u| u.health.note_failure(now))
     }
 
     /// Notes that a request ended for another reason, such as a caller gone.
     pub fn abandoned(&mut self, id: &str) {
         if let Some(upstream) = self.close(id) {
-            upstream.health.undecided();
+            upstream.health.note_inconclusive();
         }
     }
 
     /// Notes that an upstream denied a request without running it.
     pub fn denied(&mut self, id: &str, now: Moment) {
         if let Some(upstream) = self.close(id) {
-            upstream.health.undecided();
+            upstream.health.note_inconclusive();
         }
         // A plain service may deny one call and take the next; an engine
         // denies when it drains or has other weights.
--- a/crates/jb-policy/src/upstream.rs
+++ b/crates/jb-policy/src/upstream.rs
@@ -108,7 +108,7 @@
 
     /// Whether it may get a new request now.
     pub fn is_usable(&self, now: Moment) -> bool {
-        self.is_willing(now) && self.health.is_open(now)
+        self.is_willing(now) && self.health.is_available(now)
     }
 
     /// Whether it takes work, as far as is known; it may be failing.
@@ -151,7 +151,7 @@
                 Obstacle::Limited,
                 Some(now + self.limit.permit_after(now)),
             ),
-            (!self.health.is_open(now), Obstacle::Fails, None),
+            (!self.health.is_available(now), Obstacle::Fails, None),
         ];
         let (_, obstacle, until) = obstacles.into_iter().find(|(holds, ..)| *holds)?;
         let until = until.filter(|until| *until < Moment::MAX);
--- a/crates/jb-policy/tests/poison.rs
+++ b/crates/jb-policy/tests/poison.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use jb_policy::poison::{Fingerprint, EngineId, Evidence, Ledger, Row, Verdict};
+use jb_policy::poison::{EngineId, Evidence, Fingerprint, Ledger, Row, Verdict};
 use quickcheck::{Gen, QuickCheck};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
--- a/crates/jb-policy/tests/route.rs
+++ b/crates/jb-policy/tests/route.rs
@@ -163,7 +163,7 @@
     let later = at(600);
     let upstream = pool.upstream_mut(&home).expect("it is there");
     assert!(upstream.is_usable(later));
-    upstream.health.sent();
+    upstream.health.note_sent();
     assert!(!upstream.is_usable(later));
     assert_eq!(pool.succeeded(&home), Change::Returned);
 }
--- a/crates/jb-relay/src/leader/load.rs
+++ b/crates/jb-relay/src/leader/load.rs
@@ -156,7 +156,7 @@
                 || self.absent.borrow().is_paused(instance, now);
             let free = !barred && !self.lets_rest(upstream, model) && !loading.contains(instance);
             if old && free && upstream.is_there() && upstream.expired.is_none() {
-                let unsound = !upstream.health.is_open(now);
+                let unsound = !upstream.health.is_available(now);
                 let running = upstream.running + upstream.others.running;
                 let unnamed = !self.record.borrow().covers(std::slice::from_ref(instance));
                 behind.push((
--- a/crates/jb-relay/src/peers/account.rs
+++ b/crates/jb-relay/src/peers/account.rs
@@ -296,7 +296,7 @@
         let read = u64::from(question.own) + if stored { 0 } else { all - found };
         let until = now + Duration::from_millis(question.left_ms.into());
         upstream.account.take(question.place, read, until);
-        upstream.health.sent();
+        upstream.health.note_sent();
         upstream.cache.insert(shared.into_iter(), u64::from(question.own));
     }
     Some(Advice {
@@ -325,7 +325,7 @@
     for upstream in core.upstreams.borrow_mut().values_mut() {
         if upstream.account.expire(now) > 0 {
             // One of them may have been the one request that tries a failing engine.
-            upstream.health.undecided();
+            upstream.health.note_inconclusive();
         }
     }
 }
@@ -351,11 +351,11 @@
     };
     let now = core.now();
     let change = match returned.ending {
-        Some(Ending::Well) => upstream.health.succeeded(),
+        Some(Ending::Well) => upstream.health.note_success(),
         // What was sent before the engine was ejected shows nothing new.
-        Some(Ending::Failed) if upstream.health.is_open(now) => upstream.health.failed(now),
+        Some(Ending::Failed) if upstream.health.is_available(now) => upstream.health.note_failure(now),
         _ => {
-            upstream.health.undecided();
+            upstream.health.note_inconclusive();
             Change::None
         }
     };
--- a/crates/jb-relay/src/peers/suspicion.rs
+++ b/crates/jb-relay/src/peers/suspicion.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use jb_policy::poison::{Fingerprint, Evidence, Row};
+use jb_policy::poison::{Evidence, Fingerprint, Row};
 use tokio::net::UdpSocket;
 use tokio::task::spawn_local;
 use tokio::time::timeout;
--- a/crates/jb-relay/src/quarantine.rs
+++ b/crates/jb-relay/src/quarantine.rs
@@ -5,7 +5,7 @@
 
 use jb_policy::Moment;
 use jb_policy::place;
-use jb_policy::poison::{Change, Fingerprint, EngineId, Evidence, Ledger, Row, Verdict};
+use jb_policy::poison::{Change, EngineId, Evidence, Fingerprint, Ledger, Row, Verdict};
 use jb_protocol::{emit, event};
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
@@ -150,7 +150,10 @@
 pub fn begin(core: &Shared, content: Fingerprint, instance: &Instance) -> Tried {
     let engine = engine(instance);
     let now = core.now();
-    core.quarantine.ledger.borrow_mut().begin_trial(content, engine, now);
+    core.quarantine
+        .ledger
+        .borrow_mut()
+        .begin_trial(content, engine, now);
     let trial = Some(Trial { engine, over: false });
     core.quarantine.enqueue(News { content, trial });
     Tried {
@@ -163,7 +166,11 @@
 impl Drop for Tried {
     fn drop(&mut self) {
         let (content, engine) = (self.content, self.engine);
-        self.core.quarantine.ledger.borrow_mut().end_trial(content, engine);
+        self.core
+            .quarantine
+            .ledger
+            .borrow_mut()
+            .end_trial(content, engine);
         let trial = Some(Trial { engine, over: true });
         self.core.quarantine.enqueue(News { content, trial });
     }
--- a/crates/jb-relay/src/upstream/registry.rs
+++ b/crates/jb-relay/src/upstream/registry.rs
@@ -281,7 +281,7 @@
         upstream.running += 1;
         upstream.fixed += u32::from(fixed);
         upstream.waiting += waiting;
-        upstream.health.sent();
+        upstream.health.note_sent();
         self.all.note_requests(&instance.id);
         self.instance(instance)
     }
@@ -293,7 +293,7 @@
         };
         upstream.running = upstream.running.saturating_sub(1);
         upstream.fixed = upstream.fixed.saturating_sub(u32::from(fixed));
-        upstream.health.undecided();
+        upstream.health.note_inconclusive();
         self.all.note_requests(&instance.id);
     }
 
@@ -356,9 +356,9 @@
             return Change::None;
         };
         if well {
-            upstream.health.succeeded()
+            upstream.health.note_success()
         } else {
-            upstream.health.failed(now)
+            upstream.health.note_failure(now)
         }
     }
 }
--- a/crates/jb-relay/src/upstream/state.rs
+++ b/crates/jb-relay/src/upstream/state.rs
@@ -140,7 +140,7 @@
     pub fn is_open_later(&self, now: Moment) -> bool {
         let busy = now < self.loading_until || now < self.ended_until;
         let comes_back = self.expired.is_none_or(|until| now < until);
-        comes_back && self.is_there() && !self.refused && !busy && self.health.is_open(now)
+        comes_back && self.is_there() && !self.refused && !busy && self.health.is_available(now)
     }
 
     /// Whether it has asked for a backoff that isn't over.
@@ -151,7 +151,7 @@
     /// Whether another engine can take parts from it.
     pub(super) fn hands_on(&self, now: Moment) -> bool {
         let loads = now < self.loading_until;
-        !loads && !self.refused && !self.unreadable && self.expired.is_none() && self.health.is_open(now)
+        !loads && !self.refused && !self.unreadable && self.expired.is_none() && self.health.is_available(now)
     }
 
     /// Last known version of a model's weights.
