--- a/crates/jb-relay/src/exchange/ask.rs
+++ b/crates/jb-relay/src/exchange/ask.rs
@@ -14,7 +14,7 @@
 use crate::peers::{self, Held, Prompt, Room, View};
 use crate::saturating_cast::saturating_cast;
 use crate::ticket::Ticket;
-use crate::upstream::{Instance, Wanted};
+use crate::upstream::{Criteria, Instance};
 
 /// Accounts that are asked for one prompt at the most: the prefix group's own engine first, the others
 /// together where it has no room.
@@ -88,7 +88,7 @@
 /// One search for an engine by accounts.
 struct Ask<'a> {
     core: &'a Shared,
-    wanted: Wanted<'a>,
+    wanted: Criteria<'a>,
     prompt: Prompt<'a>,
     tuning: Tuning,
     place: Place,
--- a/crates/jb-relay/src/exchange/judge.rs
+++ b/crates/jb-relay/src/exchange/judge.rs
@@ -32,7 +32,12 @@
             return;
         }
         self.note_ending(peers::Ending::Failed);
-        if core.upstreams.borrow_mut().judged(instance, false, core.now()) == Change::Ejected {
+        if core
+            .upstreams
+            .borrow_mut()
+            .record_outcome(instance, false, core.now())
+            == Change::Ejected
+        {
             emit!(core.logger, warn, event::UPSTREAM_EJECTED, "upstream" => %instance, "why" => why);
         }
     }
@@ -41,7 +46,12 @@
     pub(super) fn praise(&self, instance: &Instance) {
         let core = self.core;
         self.note_ending(peers::Ending::Well);
-        if core.upstreams.borrow_mut().judged(instance, true, core.now()) == Change::Returned {
+        if core
+            .upstreams
+            .borrow_mut()
+            .record_outcome(instance, true, core.now())
+            == Change::Returned
+        {
             emit!(core.logger, info, event::UPSTREAM_RETURNED, "upstream" => %instance);
         }
     }
--- a/crates/jb-relay/src/exchange/place.rs
+++ b/crates/jb-relay/src/exchange/place.rs
@@ -10,7 +10,7 @@
 use crate::core::{Core, Shared};
 use crate::peers;
 use crate::ticket::Ticket;
-use crate::upstream::{Instance, Wanted};
+use crate::upstream::{Criteria, Instance};
 
 /// Part of the bound on older weights after which nothing is sent to them.
 const WEIGHTS_SHARE: f64 = 0.85;
@@ -176,20 +176,20 @@
     body: &Bytes,
     tried: &'a [Instance],
     among: Among,
-) -> Wanted<'a> {
+) -> Criteria<'a> {
     let model = ticket.model.as_deref();
-    Wanted {
+    Criteria {
         service: &ticket.service,
         model,
         weights: model
             .and_then(|model| core.weights.borrow().get(model).cloned())
             .unwrap_or_default(),
-        time: core.settings.bounds.weights.mul_f64(WEIGHTS_SHARE),
-        hall: &core.settings.hall,
+        weights_time: core.settings.bounds.weights.mul_f64(WEIGHTS_SHARE),
+        own_hall: &core.settings.hall,
         demand: demand(ticket, body),
-        except: tried,
+        excluded: tried,
         last_resort: among == Among::All,
-        avoided: match among {
+        avoided_halls: match among {
             Among::Reachable => avoided(core),
             Among::Sure | Among::All => Avoided::None,
         },
--- a/crates/jb-relay/src/follow/facts.rs
+++ b/crates/jb-relay/src/follow/facts.rs
@@ -10,7 +10,7 @@
 use crate::restart;
 use crate::rules::Rules;
 use crate::settled;
-use crate::upstream::{Ended, Seen, Upstream};
+use crate::upstream::{EndedInstance, Transition, Upstream};
 
 /// Upstreams of one update up to which each has a log event; beyond that all of them have one together, so that what
 /// a box writes doesn't grow with the fleet.
@@ -108,22 +108,22 @@
         .borrow_mut()
         .apply_registration(id, registration, revision);
     match seen {
-        Seen::New => {
+        Transition::Added => {
             tally.new += 1;
             seen_new(core, id, tally);
         }
-        Seen::Restarted(ended) => seen_again(core, id, ended),
-        Seen::Draining => {
+        Transition::Restarted(ended) => seen_again(core, id, ended),
+        Transition::Draining => {
             tally.draining += 1;
             if tally.has_events() {
                 emit!(core.logger, info, event::UPSTREAM_DRAINING, "upstream" => id, "why" => "entry");
             }
         }
-        Seen::Missing => missing::miss(core, id, tally.comes_back, tally),
-        Seen::Unreadable => {
+        Transition::Missing => missing::miss(core, id, tally.comes_back, tally),
+        Transition::Unreadable => {
             emit!(core.logger, warn, event::UPSTREAM_UNREADABLE, "upstream" => id, "why" => why)
         }
-        Seen::Same => {}
+        Transition::Unchanged => {}
     }
 }
 
@@ -137,7 +137,7 @@
     }
 }
 
-fn seen_again(core: &Core, id: &str, ended: Ended) {
+fn seen_again(core: &Core, id: &str, ended: EndedInstance) {
     if let Some(upstream) = core.upstreams.borrow().get(id) {
         restart::log(
             core,
--- a/crates/jb-relay/src/restart.rs
+++ b/crates/jb-relay/src/restart.rs
@@ -5,7 +5,7 @@
 use crate::core::Core;
 use crate::peers;
 use crate::port::StartTime;
-use crate::upstream::{Ended, Instance};
+use crate::upstream::{EndedInstance, Instance};
 
 /// Ends an instance: the upstream has started again at `started_at`.
 pub fn note(core: &Core, instance: &Instance, started_at: Option<StartTime>, evidence: &'static str) {
@@ -27,7 +27,7 @@
     core: &Core,
     instance: &Instance,
     started_at: Option<StartTime>,
-    ended: Ended,
+    ended: EndedInstance,
     evidence: &'static str,
 ) {
     emit!(core.logger, info, event::UPSTREAM_RESTARTED, "upstream" => %instance, "born" => started_at,
--- a/crates/jb-relay/src/upstream/mod.rs
+++ b/crates/jb-relay/src/upstream/mod.rs
@@ -10,6 +10,6 @@
 
 pub use instance::{Id, Instance};
 pub use registration::{Record, Standing};
-pub use registry::{Ended, Registry, Seen};
+pub use registry::{EndedInstance, Registry, Transition};
 pub use state::{Load, Upstream};
-pub use wanted::{Source, Wanted};
+pub use wanted::{CacheSource, Criteria};
--- a/crates/jb-relay/src/upstream/pick.rs
+++ b/crates/jb-relay/src/upstream/pick.rs
@@ -5,7 +5,7 @@
 use jb_policy::place;
 use jb_policy::weights::Overdue;
 
-use super::{Instance, Registry, Source, Upstream, Wanted};
+use super::{CacheSource, Criteria, Instance, Registry, Upstream};
 
 struct Holder<'a> {
     instance: &'a Instance,
@@ -47,12 +47,12 @@
     }
 
     /// The engines that come first for a prompt's family, in the order that all boxes agree on.
-    pub fn ranked(&self, family: u64, wanted: &Wanted<'_>, count: usize, now: Moment) -> Vec<Instance> {
+    pub fn ranked(&self, family: u64, wanted: &Criteria<'_>, count: usize, now: Moment) -> Vec<Instance> {
         first(family, self.open(wanted, now), count)
     }
 
     /// Open engines to which this box has an idle connection, the last used first.
-    pub fn connected(&self, wanted: &Wanted<'_>, count: usize, now: Moment) -> Vec<Instance> {
+    pub fn connected(&self, wanted: &Criteria<'_>, count: usize, now: Moment) -> Vec<Instance> {
         let open = self.open(wanted, now);
         let idle = open.filter_map(|upstream| Some((upstream.idle.last()?.since, &upstream.instance)));
         let mut all: Vec<(Moment, &Instance)> = idle.collect();
@@ -67,7 +67,7 @@
     pub fn holders_first(
         &self,
         family: u64,
-        wanted: &Wanted<'_>,
+        wanted: &Criteria<'_>,
         count: usize,
         now: Moment,
     ) -> Vec<Instance> {
@@ -81,7 +81,7 @@
     /// would be the last one of several that lives.
     pub fn quietest(
         &self,
-        wanted: &Wanted<'_>,
+        wanted: &Criteria<'_>,
         instances: impl Fn(&Instance) -> bool,
         free: impl Fn(&Instance) -> bool,
         now: Moment,
@@ -116,21 +116,25 @@
     }
 
     /// When the first upstream is back, where all that could get the request back off or are limited.
-    pub fn first_back(&self, wanted: &Wanted<'_>, now: Moment) -> Option<Moment> {
+    pub fn first_back(&self, wanted: &Criteria<'_>, now: Moment) -> Option<Moment> {
         let ends = self.willing(wanted, now).map(Upstream::held_back_until);
         ends.min().filter(|first| *first > now)
     }
 
-    fn open<'a>(&'a self, wanted: &'a Wanted<'_>, now: Moment) -> impl Iterator<Item = &'a Upstream> {
+    fn open<'a>(&'a self, wanted: &'a Criteria<'_>, now: Moment) -> impl Iterator<Item = &'a Upstream> {
         let willing = self.willing(wanted, now);
         willing.filter(move |upstream| !upstream.is_held_back(now))
     }
 
     /// Upstreams that may get a request, those that back off or are limited included.
-    fn willing<'a>(&'a self, wanted: &'a Wanted<'_>, now: Moment) -> impl Iterator<Item = &'a Upstream> {
+    fn willing<'a>(&'a self, wanted: &'a Criteria<'_>, now: Moment) -> impl Iterator<Item = &'a Upstream> {
         let all = self.of_service(wanted.service);
-        let untried = all.filter(|upstream| !wanted.except.contains(&upstream.instance));
-        let reached = untried.filter(|upstream| !wanted.avoided.includes(&upstream.entry.hall, wanted.hall));
+        let untried = all.filter(|upstream| !wanted.excluded.contains(&upstream.instance));
+        let reached = untried.filter(|upstream| {
+            !wanted
+                .avoided_halls
+                .includes(&upstream.entry.hall, wanted.own_hall)
+        });
         let all = wanted.last_resort || self.mostly_expired(wanted.service);
         let sure = reached.filter(move |upstream| all || upstream.expired.is_none());
         let willing = sure.filter(move |upstream| upstream.is_open_later(now));
@@ -138,7 +142,7 @@
     }
 
     /// Candidates of a service that may get a request, with their lives.
-    pub fn candidates(&self, wanted: &Wanted<'_>, now: Moment) -> (Vec<Instance>, Vec<Candidate>) {
+    pub fn candidates(&self, wanted: &Criteria<'_>, now: Moment) -> (Vec<Instance>, Vec<Candidate>) {
         let holders = self.holders(wanted, now);
         let candidate = |upstream: &Upstream| {
             let has = wanted.model.and_then(|model| upstream.weights(model));
@@ -155,12 +159,12 @@
 
     /// Whether an engine's weights are still in their time. Those that were replaced before the
     /// box's start are, until an engine has the newest: then it was not just now.
-    fn is_in_time(&self, upstream: &Upstream, wanted: &Wanted<'_>, now: Moment) -> bool {
+    fn is_in_time(&self, upstream: &Upstream, wanted: &Criteria<'_>, now: Moment) -> bool {
         let Some(model) = wanted.model else { return true };
         let Some(has) = upstream.weights(model) else {
             return true;
         };
-        match wanted.weights.overdue(has, now, wanted.time) {
+        match wanted.weights.overdue(has, now, wanted.weights_time) {
             Overdue::No => true,
             Overdue::Yes => false,
             Overdue::Unknown => !self.has_weights(model, wanted.weights.newest()),
@@ -168,7 +172,7 @@
     }
 
     /// The engine that a prompt's parts are best brought from to another one.
-    pub fn source(&self, target: &Instance, wanted: &Wanted<'_>, now: Moment) -> Option<Source> {
+    pub fn source(&self, target: &Instance, wanted: &Criteria<'_>, now: Moment) -> Option<CacheSource> {
         let upstream = self.instance(target)?;
         let has = wanted.model.and_then(|model| upstream.weights(model))?;
         let found = upstream.cache.found(wanted.demand.prompt);
@@ -178,14 +182,14 @@
             .filter(|h| h.weights == has && h.found > found && h.instance != target);
         let best = better.max_by_key(|h| (h.found, h.hall == upstream.entry.hall))?;
         let address = self.instance(best.instance)?.entry.address;
-        Some(Source {
+        Some(CacheSource {
             address,
             tokens: best.found - found,
         })
     }
 
     /// Engines that keep something of a prompt and can hand it on.
-    fn holders(&self, wanted: &Wanted<'_>, now: Moment) -> Vec<Holder<'_>> {
+    fn holders(&self, wanted: &Criteria<'_>, now: Moment) -> Vec<Holder<'_>> {
         let Some(model) = wanted.model else {
             return Vec::new();
         };
--- a/crates/jb-relay/src/upstream/registry.rs
+++ b/crates/jb-relay/src/upstream/registry.rs
@@ -53,13 +53,13 @@
 
 /// Change by a registration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum Transition {
     /// Nothing that matters for the choice.
-    Same,
+    Unchanged,
     /// An upstream is there.
-    New,
+    Added,
     /// An upstream has started again.
-    Restarted(Ended),
+    Restarted(EndedInstance),
     /// It has begun to leave.
     Draining,
     /// Its entry is missing.
@@ -70,7 +70,7 @@
 
 /// An instance that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ended {
+pub struct EndedInstance {
     /// Its start.
     pub started_at: Option<StartTime>,
     /// Requests of this box that were under way there.
@@ -79,7 +79,7 @@
     pub idle: usize,
 }
 
-impl Ended {
+impl EndedInstance {
     fn of(upstream: &Upstream) -> Self {
         Self {
             started_at: upstream.instance.started_at,
@@ -91,19 +91,24 @@
 
 impl Registry {
     /// Applies a registration. A missing entry is left to the caller, as it may come back.
-    pub fn apply_registration(&mut self, id: &str, registration: Registration, revision: Revision) -> Seen {
+    pub fn apply_registration(
+        &mut self,
+        id: &str,
+        registration: Registration,
+        revision: Revision,
+    ) -> Transition {
         let records = self.records.entry(id.to_owned()).or_default();
         let before = records.standing();
         records.take(registration, revision);
         let now = records.standing();
         if now == before {
-            return Seen::Same;
+            return Transition::Unchanged;
         }
         match now {
             Standing::There(entry) => self.put(id, entry),
             Standing::Unreadable => self.blur(id),
-            Standing::Gone => Seen::Missing,
-            Standing::Unknown => Seen::Same,
+            Standing::Gone => Transition::Missing,
+            Standing::Unknown => Transition::Unchanged,
         }
     }
 
@@ -123,7 +128,7 @@
         new
     }
 
-    fn put(&mut self, id: &str, entry: Entry) -> Seen {
+    fn put(&mut self, id: &str, entry: Entry) -> Transition {
         self.note_start_time(&entry);
         if self.has_start_times && entry.started_at.is_none() {
             return self.blur(id);
@@ -134,11 +139,15 @@
         {
             let leaves = entry.draining && !known.entry.draining;
             known.update(entry);
-            return if leaves { Seen::Draining } else { Seen::Same };
+            return if leaves {
+                Transition::Draining
+            } else {
+                Transition::Unchanged
+            };
         }
         let before = self.remove(id);
         self.insert(id, entry);
-        before.map_or(Seen::New, Seen::Restarted)
+        before.map_or(Transition::Added, Transition::Restarted)
     }
 
     /// From the first upstream on that registers its start, entries without it can't be used.
@@ -169,11 +178,11 @@
         self.all.insert(upstream);
     }
 
-    fn blur(&mut self, id: &str) -> Seen {
+    fn blur(&mut self, id: &str) -> Transition {
         if let Some(known) = self.all.get_mut(id) {
             known.unreadable = true;
         }
-        Seen::Unreadable
+        Transition::Unreadable
     }
 
     /// Notes that an entry is missing and may come back until a moment; whether that is new.
@@ -187,7 +196,7 @@
     }
 
     /// Takes an upstream off; `None` when it is not known.
-    pub fn remove(&mut self, id: &str) -> Option<Ended> {
+    pub fn remove(&mut self, id: &str) -> Option<EndedInstance> {
         let known = self.all.remove(id);
         self.deregistered.push_back(id.to_owned());
         self.evict();
@@ -198,7 +207,7 @@
             limit: known.limit,
         });
         truncate(&mut self.constraints, MIN_CONSTRAINTS.max(self.all.len()));
-        Some(Ended::of(&known))
+        Some(EndedInstance::of(&known))
     }
 
     /// Evicts the oldest records of deregistered upstreams.
@@ -213,9 +222,9 @@
 
     /// Ends an instance that is over by evidence other than the store. The next one gets requests once its
     /// entry is there, or right away where upstreams don't register their start.
-    pub fn end(&mut self, instance: &Instance) -> Option<Ended> {
+    pub fn end(&mut self, instance: &Instance) -> Option<EndedInstance> {
         let known = self.instance_mut(instance)?;
-        let ended = Ended::of(known);
+        let ended = EndedInstance::of(known);
         let (entry, expired) = (known.entry.clone(), known.expired);
         *known = Upstream::new(instance.clone(), entry);
         known.expired = expired;
@@ -351,7 +360,7 @@
     }
 
     /// Applies the end of a request to the health of its upstream.
-    pub fn judged(&mut self, instance: &Instance, well: bool, now: Moment) -> Change {
+    pub fn record_outcome(&mut self, instance: &Instance, well: bool, now: Moment) -> Change {
         let Some(upstream) = self.instance_mut(instance) else {
             return Change::None;
         };
--- a/crates/jb-relay/src/upstream/state.rs
+++ b/crates/jb-relay/src/upstream/state.rs
@@ -10,7 +10,7 @@
 use jb_policy::prefix_cache::PrefixCache;
 use jb_policy::rate_limit::Limit;
 
-use super::{Instance, Wanted};
+use super::{Criteria, Instance};
 use crate::link::Idle;
 use crate::port::Entry;
 
@@ -179,8 +179,8 @@
         self.ended_until = now + ENDED_PAUSE;
     }
 
-    pub(crate) fn candidate(&self, wanted: &Wanted<'_>, behind: bool) -> Candidate {
-        let hall = wanted.hall;
+    pub(crate) fn candidate(&self, wanted: &Criteria<'_>, behind: bool) -> Candidate {
+        let hall = wanted.own_hall;
         let demand = &wanted.demand;
         Candidate {
             name: self.name,
--- a/crates/jb-relay/src/upstream/wanted.rs
+++ b/crates/jb-relay/src/upstream/wanted.rs
@@ -11,7 +11,7 @@
 
 /// What a request asks of the choice.
 #[derive(Clone, Debug)]
-pub struct Wanted<'a> {
+pub struct Criteria<'a> {
     /// Service.
     pub service: &'a str,
     /// Model that it names.
@@ -19,22 +19,22 @@
     /// Versions of the model's weights that were named.
     pub weights: History,
     /// Time after which weights get nothing any more.
-    pub time: Duration,
+    pub weights_time: Duration,
     /// Own data hall.
-    pub hall: &'a str,
+    pub own_hall: &'a str,
     /// Its prompt and size.
     pub demand: Demand<'a>,
     /// Upstreams that were tried.
-    pub except: &'a [Instance],
+    pub excluded: &'a [Instance],
     /// Whether upstreams count that may be gone, as their entries are missing.
     pub last_resort: bool,
     /// Data halls whose upstreams don't count.
-    pub avoided: Avoided,
+    pub avoided_halls: Avoided,
 }
 
 /// Where parts of a prompt are brought from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Source {
+pub struct CacheSource {
     /// Address.
     pub address: SocketAddr,
     /// Tokens that it has beyond the target's own.
--- a/crates/jb-relay/tests/instances.rs
+++ b/crates/jb-relay/tests/instances.rs
@@ -8,7 +8,7 @@
 use jb_policy::rate_limit::Announcement;
 use jb_policy::signal::Signals;
 use jb_relay::port::{Entry, Registration, Revision, StartTime};
-use jb_relay::upstream::{Instance, Registry, Seen};
+use jb_relay::upstream::{Instance, Registry, Transition};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 const NOW: Duration = Duration::from_secs(10);
@@ -58,7 +58,7 @@
     let mut registry = Registry::default();
     assert_eq!(
         registry.apply_registration("engine", entry(Some(FIRST), false), at(1)),
-        Seen::New
+        Transition::Added
     );
     let instance = registry.get("engine").expect("known").instance.clone();
     let known = registry.instance_mut(&instance).expect("its life");
@@ -66,7 +66,7 @@
     known.refused = true;
     known.backoff.observe(asks_for(NOW * 2), 1, NOW);
     assert!(
-        matches!(registry.apply_registration("engine", entry(Some(SECOND), false), at(2)), Seen::Restarted(ended)
+        matches!(registry.apply_registration("engine", entry(Some(SECOND), false), at(2)), Transition::Restarted(ended)
         if ended.started_at == Some(FIRST) && ended.running == 3)
     );
     let again = registry.get("engine").expect("known");
@@ -84,19 +84,19 @@
     registry.apply_registration("engine", entry(Some(FIRST), false), at(1));
     assert_eq!(
         registry.apply_registration("engine", entry(Some(FIRST), true), at(2)),
-        Seen::Draining
+        Transition::Draining
     );
     // It has said that it leaves, whatever another writer says later.
     registry.apply_registration("engine", entry(Some(FIRST), false), at(3));
     assert!(!is_open(&registry));
     assert!(matches!(
         registry.apply_registration("engine", entry(Some(SECOND), false), at(4)),
-        Seen::Restarted(_)
+        Transition::Restarted(_)
     ));
     assert!(is_open(&registry));
     assert_eq!(
         registry.apply_registration("engine", entry(Some(FIRST), true), at(5)),
-        Seen::Same
+        Transition::Unchanged
     );
     assert!(is_open(&registry));
 }
@@ -108,13 +108,13 @@
     registry.apply_registration("engine", entry(Some(FIRST), false), at(1));
     assert_eq!(
         registry.apply_registration("engine", unreadable(), at(2)),
-        Seen::Unreadable
+        Transition::Unreadable
     );
     assert!(!is_open(&registry));
     // Written again and again it is told once.
     assert_eq!(
         registry.apply_registration("engine", unreadable(), at(3)),
-        Seen::Same
+        Transition::Unchanged
     );
     registry.apply_registration("engine", entry(Some(FIRST), false), at(4));
     assert!(is_open(&registry));
@@ -131,7 +131,7 @@
     assert!(!is_open(&registry));
     assert_eq!(
         registry.apply_registration("third", entry(None, false), at(3)),
-        Seen::Unreadable
+        Transition::Unreadable
     );
     assert!(registry.get("third").is_none());
 }
@@ -260,7 +260,7 @@
 fn apply(registry: &mut Registry, steps: &Step) {
     match steps {
         Step::Store(registration, revision) => {
-            if registry.apply_registration("engine", registration.clone(), *revision) == Seen::Missing {
+            if registry.apply_registration("engine", registration.clone(), *revision) == Transition::Missing {
                 registry.remove("engine");
             }
         }
