--- a/crates/jb-relay/src/core.rs
+++ b/crates/jb-relay/src/core.rs
@@ -21,7 +21,7 @@
 use crate::mirror::Mirror;
 use crate::names::Names;
 use crate::peers::{
-    Accounts, Book, Gathered, Loads, Log, Notices, Permit, Quotas, RateLimits, Reachability, Relayed,
+    Accounts, Directory, Gathered, Loads, Log, Notices, Permit, Quotas, RateLimits, Reachability, Relayed,
     RoundTrips, Source, Transfers,
 };
 use crate::port::{Change, Engines, Era, Revision, Store};
@@ -95,7 +95,7 @@
     /// Whether addresses of boxes have changed since the list was last updated.
     pub addresses_changed: Cell<bool>,
     /// Boxes that may be alive.
-    pub book: RefCell<Book>,
+    pub book: RefCell<Directory>,
     /// Time of the way to other boxes.
     pub round_trips: RoundTrips,
     /// Places that this box asks other boxes for.
--- a/crates/jb-relay/src/leader/election.rs
+++ b/crates/jb-relay/src/leader/election.rs
@@ -25,7 +25,7 @@
         let now = core.now();
         let since = self.vacant_since.get().unwrap_or(now);
         self.vacant_since.set(Some(since));
-        let before = core.book.borrow().before(&core.settings.id, HOLDER, now);
+        let before = core.book.borrow().preferred_count(&core.settings.id, HOLDER, now);
         if now < since + election::pause(before) {
             return;
         }
--- a/crates/jb-relay/src/peers/account.rs
+++ b/crates/jb-relay/src/peers/account.rs
@@ -242,7 +242,7 @@
 
 /// Whether a datagram comes from a box that is listed.
 pub(super) fn is_known(core: &Core, from: SocketAddr) -> bool {
-    let known = core.book.borrow().knows(from);
+    let known = core.book.borrow().contains_address(from);
     if !known {
         core.metrics.strange.inc();
         emit!(core.logger, debug, event::PEER_REFUSED, "peer" => %from, "why" => "not a box that is known");
--- a/crates/jb-relay/src/peers/book.rs
+++ b/crates/jb-relay/src/peers/directory.rs
@@ -45,7 +45,7 @@
 
 /// All boxes that have given their address.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct Directory {
     peers: BTreeMap<id::Box, Peer>,
     addresses: HashSet<SocketAddr>,
     /// Addresses by the lower halves of the hashes of ids.
@@ -60,9 +60,9 @@
     unsure: BTreeSet<id::Box>,
 }
 
-impl Book {
+impl Directory {
     /// Takes the addresses as they stand in the store.
-    pub fn put(&mut self, peers: BTreeMap<id::Box, Peer>) {
+    pub fn replace(&mut self, peers: BTreeMap<id::Box, Peer>) {
         self.silent.retain(|id, _| peers.contains_key(id));
         self.addresses = peers.values().map(|peer| peer.address).collect();
         let by_short_name = |peer: &Peer| (place::short(peer.name), peer.address);
@@ -109,26 +109,26 @@
     }
 
     /// Notes that a box gave no answer.
-    pub fn missed(&mut self, id: &str, now: Moment) {
+    pub fn mark_silent(&mut self, id: &str, now: Moment) {
         self.silent.insert(id.to_owned(), now + PASSED_OVER);
     }
 
     /// Notes that a box gave no answer as the keeper of an account; the second time in a row it
     /// is passed over, as one datagram may be lost.
-    pub fn gave_no_advice(&mut self, id: &str, now: Moment) {
+    pub fn note_unanswered(&mut self, id: &str, now: Moment) {
         if !self.unsure.insert(id.to_owned()) {
             self.unsure.remove(id);
-            self.missed(id, now);
+            self.mark_silent(id, now);
         }
     }
 
     /// Whether an address is that of a box.
-    pub fn knows(&self, address: SocketAddr) -> bool {
+    pub fn contains_address(&self, address: SocketAddr) -> bool {
         self.addresses.contains(&address)
     }
 
     /// Whether a host is that of a box.
-    pub fn knows_host(&self, host: IpAddr) -> bool {
+    pub fn contains_host(&self, host: IpAddr) -> bool {
         self.hosts.contains(&host)
     }
 
@@ -187,7 +187,7 @@
     }
 
     /// Notes that a message of a box has arrived.
-    pub fn note_alive(&mut self, id: &str) {
+    pub fn mark_alive(&mut self, id: &str) {
         self.unsure.remove(id);
         self.silent.remove(id);
     }
@@ -234,7 +234,7 @@
     }
 
     /// Boxes that are preferred to one for a duty of the whole fleet.
-    pub fn before(&self, own: &str, duty: &str, now: Moment) -> usize {
+    pub fn preferred_count(&self, own: &str, duty: &str, now: Moment) -> usize {
         let duty = place::name_hash(duty);
         let Some(mine) = self.peers.get(own).map(|peer| rank(duty, peer)) else {
             return self.peers.len();
--- a/crates/jb-relay/src/peers/inquiry.rs
+++ b/crates/jb-relay/src/peers/inquiry.rs
@@ -73,11 +73,11 @@
         self.waiting.borrow_mut().remove(&key);
         let mut book = core.book.borrow_mut();
         if let Ok(Ok(answer)) = answer {
-            book.note_alive(id);
+            book.mark_alive(id);
             core.round_trips.note(&hall, core.now().saturating_sub(asked));
             return Some(answer);
         }
-        book.gave_no_advice(id, core.now());
+        book.note_unanswered(id, core.now());
         None
     }
 
--- a/crates/jb-relay/src/peers/mod.rs
+++ b/crates/jb-relay/src/peers/mod.rs
@@ -3,8 +3,8 @@
 //! connections.
 
 mod account;
-mod book;
 mod broadcast;
+mod directory;
 mod inquiry;
 mod log;
 mod message;
@@ -25,7 +25,7 @@
 mod weights;
 
 pub use account::{Accounts, Ending, Held, Prompt, View, ask as ask_account, draw, hold, sweep};
-pub use book::{Book, Peer};
+pub use directory::{Directory, Peer};
 pub use log::Log;
 pub use message::{Room, UpstreamLoad};
 pub use notice::{Notices, note_draining, note_limit, note_replaced, note_sent};
--- a/crates/jb-relay/src/peers/register.rs
+++ b/crates/jb-relay/src/peers/register.rs
@@ -10,7 +10,7 @@
 use tokio::time::sleep;
 
 use super::Peer;
-use super::book::SMALL;
+use super::directory::SMALL;
 use crate::core::{Core, Shared};
 use crate::port::{Change, Era, Write};
 
@@ -64,7 +64,7 @@
 /// Updates the list of boxes from the store, if addresses have changed.
 pub fn list(core: &Core) {
     if core.addresses_changed.take() {
-        core.book.borrow_mut().put(read(core));
+        core.book.borrow_mut().replace(read(core));
     }
 }
 
--- a/crates/jb-relay/src/peers/relay.rs
+++ b/crates/jb-relay/src/peers/relay.rs
@@ -183,7 +183,7 @@
             from: saturating_cast(value.len()),
         };
         let Some(news) = question(core, socket, address, ask, saturating_cast(all.len())).await else {
-            core.book.borrow_mut().missed(relay_node, core.now());
+            core.book.borrow_mut().mark_silent(relay_node, core.now());
             return Err(Error::Silent);
         };
         if let Some(present) = era_of(&news.answer)
--- a/crates/jb-relay/src/peers/status.rs
+++ b/crates/jb-relay/src/peers/status.rs
@@ -118,7 +118,7 @@
         return;
     }
     if now > core.loads.borrow().relay_node_seen + RELAY_NODE_TIMEOUT {
-        core.book.borrow_mut().missed(&relay_node, now);
+        core.book.borrow_mut().mark_silent(&relay_node, now);
         core.loads.borrow_mut().relay_node_seen = now;
         return;
     }
@@ -175,7 +175,7 @@
 /// Receives the status of another box.
 pub(super) async fn receive(core: &Core, socket: &UdpSocket, from: SocketAddr, status: Status) {
     let now = core.now();
-    core.book.borrow_mut().note_alive(&status.from);
+    core.book.borrow_mut().mark_alive(&status.from);
     for weights in &status.weights {
         weights::apply(core, weights);
     }
--- a/crates/jb-relay/src/peers/transfer.rs
+++ b/crates/jb-relay/src/peers/transfer.rs
@@ -197,10 +197,10 @@
     let query: Query = postcard::from_bytes(&query).map_err(std::io::Error::other)?;
     // A box that starts asks right after it has registered.
     let until = core.now() + HOLD_TIME;
-    while core.now() < until && !(can_answer(core, &query) && core.book.borrow().knows_host(host)) {
+    while core.now() < until && !(can_answer(core, &query) && core.book.borrow().contains_host(host)) {
         sleep(LOOK).await;
     }
-    if !core.book.borrow().knows_host(host) {
+    if !core.book.borrow().contains_host(host) {
         core.metrics.strange.inc();
         return Err(std::io::ErrorKind::PermissionDenied.into());
     }
--- a/crates/jb-relay/tests/book.rs
+++ b/crates/jb-relay/tests/book.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 
 use jb_policy::{Moment, place};
-use jb_relay::peers::{Book, Peer};
+use jb_relay::peers::{Directory, Peer};
 
 const HALL: &str = "hall-a";
 /// Boxes in ten that have a wide link.
@@ -26,10 +26,10 @@
     (id, peer)
 }
 
-fn book(boxes: u16) -> (Book, BTreeMap<String, Peer>) {
+fn book(boxes: u16) -> (Directory, BTreeMap<String, Peer>) {
     let peers: BTreeMap<String, Peer> = (1..=boxes).map(peer).collect();
-    let mut book = Book::default();
-    book.put(peers.clone());
+    let mut book = Directory::default();
+    book.replace(peers.clone());
     (book, peers)
 }
 
@@ -41,7 +41,7 @@
         for _ in 0..(boxes / 10) {
             let relay_node = book.relay_node(HALL, Moment::ZERO).expect("a relay node").clone();
             assert_eq!(peers[&relay_node].link, 200);
-            book.missed(&relay_node, Moment::ZERO);
+            book.mark_silent(&relay_node, Moment::ZERO);
         }
     }
 }
@@ -86,9 +86,9 @@
     let (own, mut peer) = peer(11);
     peer.hall = "hall-b".to_owned();
     peers.insert(own, peer);
-    let mut book = Book::default();
-    book.put(peers.clone());
-    let relay_node = |book: &Book, now| book.other_relay_nodes("hall-b", now).pop();
+    let mut book = Directory::default();
+    book.replace(peers.clone());
+    let relay_node = |book: &Directory, now| book.other_relay_nodes("hall-b", now).pop();
     assert_eq!(relay_node(&book, Moment::ZERO).as_ref(), Some(&preferred));
     let successor = peers
         .keys()
