--- a/crates/jb-relay/src/core.rs
+++ b/crates/jb-relay/src/core.rs
@@ -21,8 +21,8 @@
 use crate::mirror::Mirror;
 use crate::names::Names;
 use crate::peers::{
-    Accounts, Directory, Gathered, Loads, Log, Notices, Permit, Quotas, RateLimits, Reachability, Relayed,
-    RoundTrips, Source, Transfers,
+    Accounts, ChangeLog, Directory, Gathered, Loads, Notices, Permit, Quotas, RateLimits, Reachability,
+    Relayed, RoundTrips, Source, Transfers,
 };
 use crate::port::{Change, Engines, Era, Revision, Store};
 use crate::quarantine::Quarantine;
@@ -119,7 +119,7 @@
     /// What is to be broadcast at once.
     pub notices: RefCell<Notices>,
     /// Latest changes of the store, for other boxes.
-    pub log: RefCell<Log>,
+    pub log: RefCell<ChangeLog>,
     /// News that another box is asked for.
     pub relayed: Relayed,
     /// Transfers to other boxes.
--- a/crates/jb-relay/src/follow/run.rs
+++ b/crates/jb-relay/src/follow/run.rs
@@ -291,11 +291,11 @@
     missing::sweep(core, &progress.partition);
     let mut log = core.log.borrow_mut();
     let (items, bytes) = (core.mirror.borrow().len(), core.mirror.borrow().bytes());
-    log.note_store(items, bytes);
+    log.set_store_size(items, bytes);
     if whole {
-        log.add_all(changes, revision);
+        log.append_snapshot(changes, revision);
     } else {
-        log.add(&changes, revision);
+        log.append(&changes, revision);
     }
     progress.after = Some(revision);
     progress.unproven = proven.is_none();
--- a/crates/jb-relay/src/peers/log.rs
+++ b/crates/jb-relay/src/peers/change_log.rs
@@ -16,7 +16,7 @@
 
 /// The latest changes of the store that a box has seen.
 #[derive(Debug, Default)]
-pub struct Log {
+pub struct ChangeLog {
     changes: VecDeque<Change>,
     bytes: usize,
     /// Items that the store holds, and their bytes.
@@ -37,13 +37,13 @@
     before: Revision,
 }
 
-impl Log {
+impl ChangeLog {
     /// Adds all that the store holds, with the removal of what it held before; the first time there
     /// is nothing to add it to.
     ///
     /// Boxes that the store turns away go on from here: while a reading of everything began the log
     /// anew, they received nothing after it until they reached the store themselves, 5 s and more.
-    pub fn add_all(&mut self, mut all: Vec<Change>, revision: Revision) {
+    pub fn append_snapshot(&mut self, mut all: Vec<Change>, revision: Revision) {
         let known = self.revision;
         if known == Revision::default() {
             self.from = revision;
@@ -63,7 +63,7 @@
         // What is newer than the read comes again with the next update.
         all.retain(|change| change.revision > known && change.revision <= revision);
         all.sort_by_key(|change| change.revision);
-        self.add(&all, revision);
+        self.append(&all, revision);
     }
 
     /// Begins a later era with all that the store holds.
@@ -82,11 +82,11 @@
         };
         all.retain(|change| change.value.is_some() && change.revision <= revision);
         all.sort_by_key(|change| change.revision);
-        self.add(&all, revision);
+        self.append(&all, revision);
     }
 
     /// Adds an update.
-    pub fn add(&mut self, changes: &[Change], revision: Revision) {
+    pub fn append(&mut self, changes: &[Change], revision: Revision) {
         for change in changes {
             self.bytes += size(change);
             let at = self.position_after(change.revision);
@@ -106,12 +106,12 @@
     }
 
     /// Notes how much the store holds. Beyond as many changes everything is shorter than the changes.
-    pub fn note_store(&mut self, items: usize, bytes: usize) {
+    pub fn set_store_size(&mut self, items: usize, bytes: usize) {
         self.store = (items, bytes);
     }
 
     /// Bytes of the changes after a revision in messages, at the most.
-    pub(super) fn size_since(&self, revision: Revision) -> usize {
+    pub(super) fn encoded_size_since(&self, revision: Revision) -> usize {
         self.since(revision).map_or(0, |changes| changes.map(size).sum())
     }
 
--- a/crates/jb-relay/src/peers/mod.rs
+++ b/crates/jb-relay/src/peers/mod.rs
@@ -4,9 +4,9 @@
 
 mod account;
 mod broadcast;
+mod change_log;
 mod directory;
 mod inquiry;
-mod log;
 mod message;
 mod notice;
 mod owner;
@@ -25,8 +25,8 @@
 mod weights;
 
 pub use account::{Accounts, Ending, Held, Prompt, View, ask as ask_account, draw, hold, sweep};
+pub use change_log::ChangeLog;
 pub use directory::{Directory, Peer};
-pub use log::Log;
 pub use message::{Room, UpstreamLoad};
 pub use notice::{Notices, note_draining, note_limit, note_replaced, note_sent};
 pub use quarantine_record::apply_record as apply_quarantine_record;
--- a/crates/jb-relay/src/peers/relay.rs
+++ b/crates/jb-relay/src/peers/relay.rs
@@ -14,7 +14,7 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-use super::log::{Log, NUMBERS, size};
+use super::change_log::{ChangeLog, NUMBERS, size};
 use super::message::{Answer, Ask, AskMore, LONGEST, Message, News, Piece, StoreChange};
 use super::socket::send;
 use super::transfer;
@@ -34,11 +34,11 @@
 
 /// What fits into one datagram of the changes that a box asks for, but for the first `skip` ones,
 /// which it has.
-fn changes_since(log: &Log, ask: &Ask, skip: u32) -> Answer {
+fn changes_since(log: &ChangeLog, ask: &Ask, skip: u32) -> Answer {
     let Some(since) = log.since(ask.after) else {
         return Answer::TooLong;
     };
-    if skip == 0 && ask.from == 0 && log.size_since(ask.after) > MAX_DATAGRAM_BYTES {
+    if skip == 0 && ask.from == 0 && log.encoded_size_since(ask.after) > MAX_DATAGRAM_BYTES {
         return Answer::TooLong;
     }
     let mut room = LONGEST - FRAME;
--- a/crates/jb-relay/tests/news.rs
+++ b/crates/jb-relay/tests/news.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
-use jb_relay::peers::Log;
+use jb_relay::peers::ChangeLog;
 use jb_relay::port::{Change, Revision};
 use quickcheck::{Gen, QuickCheck};
 
@@ -52,7 +52,7 @@
     /// Changes of the present era.
     history: Vec<Change>,
     revision: Revision,
-    log: Log,
+    log: ChangeLog,
     /// What the box knows.
     known: State,
 }
@@ -64,11 +64,11 @@
             states: BTreeMap::from([(revision, State::new())]),
             history: Vec::new(),
             revision,
-            log: Log::default(),
+            log: ChangeLog::default(),
             known: State::new(),
         };
         world.put("first");
-        world.log.add_all(Vec::new(), world.revision);
+        world.log.append_snapshot(Vec::new(), world.revision);
         world.known = world.now().clone();
         world
     }
@@ -129,7 +129,7 @@
         }
         let newer = self.history.iter().filter(|change| change.revision > after);
         let newer: Vec<Change> = newer.cloned().collect();
-        self.log.add(&newer, self.revision);
+        self.log.append(&newer, self.revision);
         self.known = self.now().clone();
     }
 
@@ -139,7 +139,7 @@
         let missing = self.known.keys().filter(|key| !now.contains_key(*key));
         let missing = missing.map(|key| change(key, revision, false));
         let all: Vec<Change> = there.chain(missing).collect();
-        self.log.add_all(all, revision);
+        self.log.append_snapshot(all, revision);
         self.known = now;
     }
 
@@ -223,12 +223,12 @@
 fn log_reaches_back_over_as_many_changes_as_the_store_holds() {
     for items in [10_000, 20_000] {
         let at = |number| Revision { era: 1, number };
-        let mut log = Log::default();
-        log.note_store(items, 300 * items);
-        log.add_all(Vec::new(), at(1));
+        let mut log = ChangeLog::default();
+        log.set_store_size(items, 300 * items);
+        log.append_snapshot(Vec::new(), at(1));
         for number in 0..items as u64 / 7 {
             let gone = change(&format!("upstream-{number}"), at(2 + number), false);
-            log.add(&[gone], at(2 + number));
+            log.append(&[gone], at(2 + number));
         }
         let since = log.since(at(1)).expect("all changes");
         assert_eq!(since.count(), items / 7);
