--- a/crates/jb-relay/src/core.rs
+++ b/crates/jb-relay/src/core.rs
@@ -21,7 +21,7 @@
 use crate::mirror::Mirror;
 use crate::names::Names;
 use crate::peers::{
-    Accounts, ChangeLog, Directory, Gathered, Loads, Notices, Permit, Quotas, RateLimits, Reachability,
+    Accounts, ChangeLog, Directory, Gathered, Loads, Outbox, Permit, Quotas, RateLimits, Reachability,
     Relayed, RoundTrips, Source, Transfers,
 };
 use crate::port::{Change, Engines, Era, Revision, Store};
@@ -117,7 +117,7 @@
     /// Loads of weights that are about to be published.
     pub gathered: RefCell<Gathered>,
     /// What is to be broadcast at once.
-    pub notices: RefCell<Notices>,
+    pub notices: RefCell<Outbox>,
     /// Latest changes of the store, for other boxes.
     pub log: RefCell<ChangeLog>,
     /// News that another box is asked for.
--- a/crates/jb-relay/src/exchange/count.rs
+++ b/crates/jb-relay/src/exchange/count.rs
@@ -38,7 +38,7 @@
             .begin_request(instance, waiting, fixed)
         {
             ahead = upstream.waiting + upstream.others.waiting;
-            peers::note_sent(core, upstream, waiting);
+            peers::announce_prompt(core, upstream, waiting);
         }
         Self {
             core,
--- a/crates/jb-relay/src/peers/mod.rs
+++ b/crates/jb-relay/src/peers/mod.rs
@@ -8,7 +8,7 @@
 mod directory;
 mod inquiry;
 mod message;
-mod notice;
+mod outbox;
 mod owner;
 mod quarantine_record;
 mod quota;
@@ -28,7 +28,7 @@
 pub use change_log::ChangeLog;
 pub use directory::{Directory, Peer};
 pub use message::{Room, UpstreamLoad};
-pub use notice::{Notices, note_draining, note_limit, note_replaced, note_sent};
+pub use outbox::{Outbox, announce_draining, announce_prompt, announce_rate_limit, announce_replaced};
 pub use quarantine_record::apply_record as apply_quarantine_record;
 pub use quota::{Charged, Quotas, charge};
 pub use rate_limit::{Permit, RateLimits, acquire, log_change};
--- a/crates/jb-relay/src/peers/notice.rs
+++ b/crates/jb-relay/src/peers/outbox.rs
@@ -28,7 +28,7 @@
 
 /// What is to be broadcast.
 #[derive(Debug, Default)]
-pub struct Notices {
+pub struct Outbox {
     /// Upstream of each long prompt with the tokens that it has to read.
     sent: Vec<(u32, u32)>,
     /// Upstreams whose addresses others have now.
@@ -41,7 +41,7 @@
     wake: Rc<Notify>,
 }
 
-impl Notices {
+impl Outbox {
     /// Drops the long prompts: the next status includes them.
     pub(super) fn forget_sent(&mut self) {
         self.sent.clear();
@@ -49,7 +49,7 @@
 }
 
 /// Notes a prompt that has been sent, for the other boxes of a small fleet.
-pub fn note_sent(core: &Core, upstream: &Upstream, tokens: u64) {
+pub fn announce_prompt(core: &Core, upstream: &Upstream, tokens: u64) {
     if tokens < LONG_PROMPT || !core.book.borrow().is_small() {
         return;
     }
@@ -86,7 +86,7 @@
 
 /// Notes that another incarnation answers at an upstream's address, for the other boxes: each
 /// would find out by a request that is turned away, and these spend the retry budget.
-pub fn note_replaced(core: &Core, upstream: &Upstream) {
+pub fn announce_replaced(core: &Core, upstream: &Upstream) {
     core.notices
         .borrow_mut()
         .replaced
@@ -95,7 +95,7 @@
 
 /// Notes that an upstream has signalled that it drains, for the other boxes: while the store is down each would
 /// have to receive such a response itself. It is broadcast once.
-pub fn note_draining(core: &Core, upstream: &Upstream) {
+pub fn announce_draining(core: &Core, upstream: &Upstream) {
     core.notices
         .borrow_mut()
         .draining
@@ -103,7 +103,7 @@
 }
 
 /// Notes that an upstream has become limited or unlimited, to announce it to the other boxes.
-pub fn note_limit(core: &Core, upstream: &Upstream) {
+pub fn announce_rate_limit(core: &Core, upstream: &Upstream) {
     core.notices.borrow_mut().limits.push(place::short(upstream.name));
 }
 
--- a/crates/jb-relay/src/peers/socket.rs
+++ b/crates/jb-relay/src/peers/socket.rs
@@ -10,7 +10,7 @@
 
 use super::message::{LONGEST, Message};
 use super::{
-    account, broadcast, notice, quota, rate_limit, reachability, relay, releases, status, suspicion,
+    account, broadcast, outbox, quota, rate_limit, reachability, relay, releases, status, suspicion,
 };
 use crate::core::{Core, Shared};
 
@@ -119,8 +119,8 @@
         Message::Ask(ask) => relay::answer(core, socket, from, ask, 0).await,
         Message::AskMore(more) => relay::answer(core, socket, from, more.ask, more.skip).await,
         Message::News(news) => core.relayed.deliver(news),
-        Message::Sent(sent) => notice::take_sent(core, &sent),
-        Message::Replaced(replaced) => notice::receive_replaced(core, &replaced),
+        Message::Sent(sent) => outbox::take_sent(core, &sent),
+        Message::Replaced(replaced) => outbox::receive_replaced(core, &replaced),
         Message::Question(question) => account::receive_question(core, socket, from, &question),
         Message::Advice(advice) => account::deliver(core, advice),
         Message::Returned(returned) => account::receive_returned(core, from, &returned),
@@ -130,7 +130,7 @@
         Message::AskReleases(asked) => releases::answer(core, socket, from, asked).await,
         Message::Releases(answer) => releases::receive(core, answer),
         Message::Suspects(suspects) => suspicion::receive(core, from, &suspects),
-        Message::Draining(draining) => notice::receive_draining(core, from, &draining),
+        Message::Draining(draining) => outbox::receive_draining(core, from, &draining),
         Message::Limits(limits) => rate_limit::receive_limits(core, from, &limits),
         Message::Acquire(query) => rate_limit::receive_acquire(core, socket, from, &query),
         Message::Permit(answer) => rate_limit::deliver(core, answer),
--- a/crates/jb-relay/src/peers/status.rs
+++ b/crates/jb-relay/src/peers/status.rs
@@ -22,7 +22,7 @@
 use super::broadcast::broadcast;
 use super::message::{CacheUse, Status, UpstreamLoad};
 use super::socket::send;
-use super::{notice, reachability, weights};
+use super::{outbox, reachability, weights};
 use crate::core::{Core, Shared};
 use crate::saturating_cast::saturating_cast;
 use crate::upstream::{Load, Upstream};
@@ -75,9 +75,9 @@
 pub async fn publish(core: Shared, socket: Rc<UdpSocket>) {
     let mut quiet = 0;
     loop {
-        notice::broadcast_signals(&core, &socket).await;
+        outbox::broadcast_signals(&core, &socket).await;
         if core.book.borrow().is_small() {
-            notice::broadcast_prompts(&core, &socket, PERIOD).await;
+            outbox::broadcast_prompts(&core, &socket, PERIOD).await;
             let nothing = broadcast_status(&core, &socket, quiet).await;
             quiet = if nothing { quiet + 1 } else { 0 };
         } else {
--- a/crates/jb-relay/src/restart.rs
+++ b/crates/jb-relay/src/restart.rs
@@ -18,7 +18,7 @@
         .instance(instance)
         .filter(|_| instance.started_at.is_some())
     {
-        peers::note_replaced(core, upstream);
+        peers::announce_replaced(core, upstream);
     }
 }
 
--- a/crates/jb-relay/src/signal.rs
+++ b/crates/jb-relay/src/signal.rs
@@ -108,14 +108,14 @@
     };
     if drains {
         emit!(core.logger, info, event::UPSTREAM_DRAINING, "upstream" => %instance, "why" => "answer");
-        peers::note_draining(core, upstream);
+        peers::announce_draining(core, upstream);
     }
     let was_limited = upstream.limit.rate().is_some();
     if upstream.limit.observe(signals.limit, sent, now) {
         peers::log_change(core, upstream, "response");
     }
     if was_limited != upstream.limit.rate().is_some() {
-        peers::note_limit(core, upstream);
+        peers::announce_rate_limit(core, upstream);
     }
     if let Some(until) = upstream.backoff.observe(signals, upstream.running, now) {
         core.metrics.backoffs.inc();
@@ -130,6 +130,6 @@
         && !upstream.refused
     {
         upstream.refused = true;
-        peers::note_replaced(core, upstream);
+        peers::announce_replaced(core, upstream);
     }
 }
