--- a/crates/jb-relay/src/core.rs
+++ b/crates/jb-relay/src/core.rs
@@ -21,8 +21,8 @@
 use crate::mirror::Mirror;
 use crate::names::Names;
 use crate::peers::{
-    Accounts, ChangeLog, Directory, Gathered, Loads, Outbox, Permit, Quotas, RateLimits, Reachability,
-    Relayed, RoundTrips, Source, Transfers,
+    Accounts, ChangeLog, Directory, Gathered, Loads, Outbox, PendingPull, Permit, Quotas, RateLimits,
+    Reachability, RoundTrips, Source, Transfers,
 };
 use crate::port::{Change, Engines, Era, Revision, Store};
 use crate::quarantine::Quarantine;
@@ -121,7 +121,7 @@
     /// Latest changes of the store, for other boxes.
     pub log: RefCell<ChangeLog>,
     /// News that another box is asked for.
-    pub relayed: Relayed,
+    pub relayed: PendingPull,
     /// Transfers to other boxes.
     pub transfers: Transfers,
     /// Retry budget of each service.
@@ -188,7 +188,7 @@
             gathered: RefCell::default(),
             notices: RefCell::default(),
             log: RefCell::default(),
-            relayed: Relayed::default(),
+            relayed: PendingPull::default(),
             transfers: Transfers::default(),
             budgets: RefCell::default(),
             paces: RefCell::default(),
--- a/crates/jb-relay/src/follow/run.rs
+++ b/crates/jb-relay/src/follow/run.rs
@@ -111,7 +111,7 @@
     let Some(after) = after else {
         return Asked::Nothing;
     };
-    match peers::ask(core, socket, after, source).await {
+    match peers::pull_changes(core, socket, after, source).await {
         Ok(update) => Asked::Update(Update {
             from: Origin::Box(source),
             whole: update.whole,
@@ -125,12 +125,12 @@
 }
 
 /// Returns whether a box that has received no update asks again before it calls the store.
-fn waits(core: &Core, progress: &Progress, level: Level, why: peers::AskError) -> bool {
+fn waits(core: &Core, progress: &Progress, level: Level, why: peers::PullError) -> bool {
     match progress.failing {
         Some(failing) => core.now() < failing.last + level.retry_interval(),
         None => {
             let max_wait = level.max_wait(core.settings.bounds.revoke);
-            why == peers::AskError::Outdated && core.age().is_some_and(|age| age < max_wait)
+            why == peers::PullError::Outdated && core.age().is_some_and(|age| age < max_wait)
         }
     }
 }
--- a/crates/jb-relay/src/peers/relay.rs
+++ b/crates/jb-relay/src/peers/pull.rs
@@ -87,12 +87,12 @@
 
 /// The question that waits for its answer.
 #[derive(Debug, Default)]
-pub struct Relayed {
+pub struct PendingPull {
     nonce: Cell<u64>,
     waiting: RefCell<Option<(u64, oneshot::Sender<News>)>>,
 }
 
-impl Relayed {
+impl PendingPull {
     /// Hands an answer to the question that it belongs to.
     pub(super) fn deliver(&self, news: News) {
         let mut waiting = self.waiting.borrow_mut();
@@ -129,7 +129,12 @@
 ///
 /// # Errors
 /// Why the last box that was asked brought none.
-pub async fn ask(core: &Core, socket: &UdpSocket, after: Revision, source: Source) -> Result<Update, Error> {
+pub async fn pull_changes(
+    core: &Core,
+    socket: &UdpSocket,
+    after: Revision,
+    source: Source,
+) -> Result<Update, Error> {
     let relay_nodes = match source {
         Source::RelayNode => own_relay_node(core).into_iter().collect(),
         Source::AnyRelayNode => any_relay_node(core),
@@ -284,14 +289,14 @@
 }
 
 /// Returns whether a box may send what it knows, by its age.
-pub fn is_recent(age: Duration) -> bool {
+pub fn is_fresh(age: Duration) -> bool {
     age < OLDEST
 }
 
 /// Answers another box that has the first `skip` changes already.
 pub(super) async fn answer(core: &Core, socket: &UdpSocket, from: SocketAddr, ask: Ask, skip: u32) {
     // Without knowledge, or with old knowledge, the asker is better off with the store.
-    let age = core.age().filter(|age| is_recent(*age));
+    let age = core.age().filter(|age| is_fresh(*age));
     let answer = age.map_or(Answer::ReadYourself, |_| {
         changes_since(&core.log.borrow(), &ask, skip)
     });
--- a/crates/jb-relay/src/peers/socket.rs
+++ b/crates/jb-relay/src/peers/socket.rs
@@ -9,9 +9,7 @@
 use tokio::time::sleep;
 
 use super::message::{LONGEST, Message};
-use super::{
-    account, broadcast, outbox, quota, rate_limit, reachability, relay, releases, status, suspicion,
-};
+use super::{account, broadcast, outbox, pull, quota, rate_limit, reachability, releases, status, suspicion};
 use crate::core::{Core, Shared};
 
 /// Pause after an error of the socket.
@@ -116,8 +114,8 @@
 async fn apply(core: &Shared, socket: &UdpSocket, from: SocketAddr, message: Message) {
     match message {
         Message::Status(status) => status::receive(core, socket, from, status).await,
-        Message::Ask(ask) => relay::answer(core, socket, from, ask, 0).await,
-        Message::AskMore(more) => relay::answer(core, socket, from, more.ask, more.skip).await,
+        Message::Ask(ask) => pull::answer(core, socket, from, ask, 0).await,
+        Message::AskMore(more) => pull::answer(core, socket, from, more.ask, more.skip).await,
         Message::News(news) => core.relayed.deliver(news),
         Message::Sent(sent) => outbox::take_sent(core, &sent),
         Message::Replaced(replaced) => outbox::receive_replaced(core, &replaced),
--- a/crates/jb-relay/src/peers/transfer.rs
+++ b/crates/jb-relay/src/peers/transfer.rs
@@ -18,7 +18,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::message::StoreChange;
-use super::relay::is_recent;
+use super::pull::is_fresh;
 use crate::core::{Core, Shared};
 use crate::port::{Change, Revision};
 use crate::saturating_cast::saturating_cast;
@@ -225,7 +225,7 @@
 fn can_answer(core: &Core, query: &Query) -> bool {
     match query.after {
         None => core.knows_store(),
-        Some(_) => core.age().is_some_and(is_recent),
+        Some(_) => core.age().is_some_and(is_fresh),
     }
 }
 
--- a/crates/jb-relay/tests/peers.rs
+++ b/crates/jb-relay/tests/peers.rs
@@ -3,18 +3,18 @@
 use std::time::Duration;
 
 use jb_relay::follow::PERIOD;
-use jb_relay::peers::is_recent;
+use jb_relay::peers::is_fresh;
 
 /// Half of the questions to a relay node met it just before its next answer came, at two pauses of
 /// age, and sent the asker to the store, which kept the two in step.
 #[test]
 fn relay_node_tells_what_it_knows_at_every_moment_between_two_of_its_calls() {
     const WAY: Duration = Duration::from_millis(100);
-    assert!(is_recent(Duration::ZERO));
-    assert!(is_recent(PERIOD));
-    assert!(is_recent(2 * PERIOD + WAY));
+    assert!(is_fresh(Duration::ZERO));
+    assert!(is_fresh(PERIOD));
+    assert!(is_fresh(2 * PERIOD + WAY));
     assert!(
-        !is_recent(3 * PERIOD),
+        !is_fresh(3 * PERIOD),
         "a relay node without answers sends nothing"
     );
 }
