--- a/crates/jb-relay/src/core.rs
+++ b/crates/jb-relay/src/core.rs
@@ -21,8 +21,8 @@
 use crate::mirror::Mirror;
 use crate::names::Names;
 use crate::peers::{
-    Accounts, ChangeLog, Directory, Gathered, Loads, Outbox, PendingPull, Permit, Quotas, RateLimits,
-    Reachability, RoundTrips, Source, Transfers,
+    ChangeLog, Directory, Gathered, Loads, Outbox, PendingPull, Permit, Quotas, RateLimits, Reachability,
+    Reservations, RoundTrips, Source, Transfers,
 };
 use crate::port::{Change, Engines, Era, Revision, Store};
 use crate::quarantine::Quarantine;
@@ -99,7 +99,7 @@
     /// Time of the way to other boxes.
     pub round_trips: RoundTrips,
     /// Places that this box asks other boxes for.
-    pub accounts: Accounts,
+    pub accounts: Reservations,
     /// Data halls that this box can't connect to.
     pub reach: RefCell<Reach>,
     /// Boxes that reach each other.
@@ -177,7 +177,7 @@
             addresses_changed: Cell::default(),
             book: RefCell::default(),
             round_trips: RoundTrips::default(),
-            accounts: Accounts::default(),
+            accounts: Reservations::default(),
             reach: RefCell::default(),
             reachability: RefCell::default(),
             quotas: Quotas::default(),
--- a/crates/jb-relay/src/exchange/ask.rs
+++ b/crates/jb-relay/src/exchange/ask.rs
@@ -11,7 +11,7 @@
 
 use super::place::{self, Among, Choice};
 use crate::core::Shared;
-use crate::peers::{self, Held, Prompt, Room, View};
+use crate::peers::{self, Admission, EngineState, Prompt, Reservation};
 use crate::saturating_cast::saturating_cast;
 use crate::ticket::Ticket;
 use crate::upstream::{Instance, Wanted};
@@ -29,7 +29,7 @@
     /// What is under way at the engine.
     pub load: Load,
     /// The place at the engine.
-    pub held: Held,
+    pub held: Reservation,
     /// Tokens of the prompt that the engine keeps.
     pub found: u64,
     /// Another engine that keeps more.
@@ -42,7 +42,7 @@
 
 struct Asked {
     instance: Instance,
-    view: View,
+    view: EngineState,
     candidate: Candidate,
 }
 
@@ -64,7 +64,7 @@
             until: ticket.until,
         },
         tuning: place::tuning(core, ticket),
-        place: peers::draw(core),
+        place: peers::draw_reservation_id(core),
     };
     let family = ask.wanted.demand.family()?;
     let ranked = core
@@ -132,9 +132,10 @@
     /// Asks the family's own engine for a place, and looks at others where it has none.
     async fn at_home(&self, own: &Instance, others: &[Instance], family: u64, target: Duration) -> Looked {
         let ahead = account::ahead(self.tuning.tokens_per_ms, target);
-        let room = Room::Ahead(saturating_cast(ahead));
+        let room = Admission::QueueLimit(saturating_cast(ahead));
         let held = peers::hold(self.core, own, self.place);
-        let Some(view) = peers::ask_account(self.core, own, self.place, &self.prompt, room).await else {
+        let Some(view) = peers::request_reservation(self.core, own, self.place, &self.prompt, room).await
+        else {
             return Looked::Chosen(Box::new(unadvised(held, own)));
         };
         let first = self.asked(own, view);
@@ -183,8 +184,14 @@
             });
         }
         let held = peers::hold(self.core, &best.instance, self.place);
-        if let Some(view) =
-            peers::ask_account(self.core, &best.instance, self.place, &self.prompt, Room::Any).await
+        if let Some(view) = peers::request_reservation(
+            self.core,
+            &best.instance,
+            self.place,
+            &self.prompt,
+            Admission::Always,
+        )
+        .await
         {
             best.view = view;
         }
@@ -199,7 +206,7 @@
     }
 
     /// The choice of an engine, with the best place among the rest to bring parts from.
-    fn chosen(&self, best: &Asked, held: Held, rest: &[Asked]) -> Choice {
+    fn chosen(&self, best: &Asked, held: Reservation, rest: &[Asked]) -> Choice {
         let upstreams = self.core.upstreams.borrow();
         let weights = |instance: &Instance| {
             let model = self.wanted.model?;
@@ -239,14 +246,16 @@
     /// Looks at the accounts of engines, without taking a place.
     async fn look(&self, ids: &[Instance]) -> Vec<Asked> {
         let looks = ids.iter().map(|instance| async {
-            let place = peers::draw(self.core);
-            let view = peers::ask_account(self.core, instance, place, &self.prompt, Room::None).await?;
+            let place = peers::draw_reservation_id(self.core);
+            let view =
+                peers::request_reservation(self.core, instance, place, &self.prompt, Admission::Inspect)
+                    .await?;
             self.asked(instance, view)
         });
         join_all(looks).await.into_iter().flatten().collect()
     }
 
-    fn asked(&self, instance: &Instance, view: View) -> Option<Asked> {
+    fn asked(&self, instance: &Instance, view: EngineState) -> Option<Asked> {
         let upstreams = self.core.upstreams.borrow();
         let upstream = upstreams.instance(instance)?;
         let has = self.wanted.model.and_then(|model| upstream.weights(model));
@@ -268,7 +277,7 @@
 }
 
 /// A choice without the answer of an account.
-fn unadvised(held: Held, own: &Instance) -> Choice {
+fn unadvised(held: Reservation, own: &Instance) -> Choice {
     Choice {
         instance: own.clone(),
         estimate: Estimate {
--- a/crates/jb-relay/src/exchange/count.rs
+++ b/crates/jb-relay/src/exchange/count.rs
@@ -5,7 +5,7 @@
 use jb_policy::Moment;
 
 use crate::core::Shared;
-use crate::peers::{self, Held};
+use crate::peers::{self, Reservation};
 use crate::upstream::Instance;
 
 /// Load of one request at one upstream, counted until dropped.
@@ -20,7 +20,7 @@
     /// Tokens to be read before its first one, its own with them.
     ahead: u64,
     /// The place in the engine's account.
-    held: Option<Held>,
+    held: Option<Reservation>,
 }
 
 impl<'a> Counted<'a> {
@@ -29,7 +29,7 @@
         instance: &'a Instance,
         waiting: u64,
         fixed: bool,
-        held: Option<Held>,
+        held: Option<Reservation>,
     ) -> Self {
         let mut ahead = waiting;
         if let Some(upstream) = core
@@ -65,7 +65,7 @@
         }
         self.started();
         if let Some(held) = &self.held {
-            held.begin();
+            held.note_first_token();
         }
     }
 
--- a/crates/jb-relay/src/exchange/judge.rs
+++ b/crates/jb-relay/src/exchange/judge.rs
@@ -9,7 +9,7 @@
 
 impl Exchange<'_> {
     /// Notes how the request ends at its engine, for the engine's account.
-    fn note_ending(&self, ending: peers::Ending) {
+    fn note_ending(&self, ending: peers::Outcome) {
         if let Some(noted) = &self.ending {
             noted.set(ending);
         }
@@ -31,7 +31,7 @@
             // Streams that are reset for new weights are no fault of the engine.
             return;
         }
-        self.note_ending(peers::Ending::Failed);
+        self.note_ending(peers::Outcome::Failed);
         if core.upstreams.borrow_mut().judged(instance, false, core.now()) == Change::Ejected {
             emit!(core.logger, warn, event::UPSTREAM_EJECTED, "upstream" => %instance, "why" => why);
         }
@@ -40,7 +40,7 @@
     /// Notes that the engine has answered well.
     pub(super) fn praise(&self, instance: &Instance) {
         let core = self.core;
-        self.note_ending(peers::Ending::Well);
+        self.note_ending(peers::Outcome::Succeeded);
         if core.upstreams.borrow_mut().judged(instance, true, core.now()) == Change::Returned {
             emit!(core.logger, info, event::UPSTREAM_RETURNED, "upstream" => %instance);
         }
--- a/crates/jb-relay/src/exchange/run.rs
+++ b/crates/jb-relay/src/exchange/run.rs
@@ -18,7 +18,7 @@
 use crate::core::Shared;
 use crate::deliver::{self, Delivered, Pace};
 use crate::http::{Connection, Query};
-use crate::peers::{self, Held, Permit};
+use crate::peers::{self, Permit, Reservation};
 use crate::quarantine;
 use crate::rules::Kind;
 use crate::ticket::Ticket;
@@ -58,7 +58,7 @@
     /// What it asks, once that was worked out.
     pub(super) content: OnceCell<Content>,
     /// Where the end of the request is noted for the engine's account.
-    pub(super) ending: Option<Rc<Cell<peers::Ending>>>,
+    pub(super) ending: Option<Rc<Cell<peers::Outcome>>>,
     pub(super) pace: Pace,
 }
 
@@ -162,7 +162,7 @@
         let waiting = self.place_prompt(instance, advice.as_ref());
         let last = !ticket.route.repeatable() || self.runs + 1 >= ticket.route.attempts;
         let held = advice.map(|advice| advice.held);
-        self.ending = held.as_ref().map(Held::ending);
+        self.ending = held.as_ref().map(Reservation::outcome);
         let mut counted = Counted::new(core, instance, waiting, last, held);
         self.tried.push(instance.clone());
         // It is a try of a suspect until the end of this send.
--- a/crates/jb-relay/src/peers/broadcast.rs
+++ b/crates/jb-relay/src/peers/broadcast.rs
@@ -14,8 +14,8 @@
 use jb_protocol::id;
 use tokio::net::UdpSocket;
 
-use super::account;
 use super::message::{Forward, Message, Recipients};
+use super::reservation;
 use super::socket::{encode, send_bytes};
 use crate::core::Core;
 
@@ -66,7 +66,7 @@
     from: SocketAddr,
     forward: Forward,
 ) -> Option<Vec<u8>> {
-    if !account::is_known(core, from) {
+    if !reservation::is_known(core, from) {
         return None;
     }
     let message = forward.message;
--- a/crates/jb-relay/src/peers/message/mod.rs
+++ b/crates/jb-relay/src/peers/message/mod.rs
@@ -14,7 +14,7 @@
 pub(super) use forward::{Forward, Recipients};
 pub(super) use limit::{Charge, Count, Grant};
 pub(super) use news::{Answer, Ask, AskMore, News, Piece, StoreChange};
-pub use place::Room;
+pub use place::Admission;
 pub(super) use place::{Advice, Question, Returned};
 pub(super) use rate_limit::{Acquire, Limits, Observation, Permit};
 pub(super) use releases::{AskReleases, Release, Releases};
--- a/crates/jb-relay/src/peers/message/place.rs
+++ b/crates/jb-relay/src/peers/message/place.rs
@@ -3,17 +3,17 @@
 use jb_policy::account::Place;
 use serde::{Deserialize, Serialize};
 
-use crate::peers::account::Ending;
+use crate::peers::reservation::Outcome;
 
 /// Where a box takes a place at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Room {
+pub enum Admission {
     /// Nowhere: it only looks.
-    None,
+    Inspect,
     /// Where at most so many prompt tokens wait, and a place is free.
-    Ahead(u32),
+    QueueLimit(u32),
     /// Wherever it asks: it has compared.
-    Any,
+    Always,
 }
 
 /// A question to the account of an engine.
@@ -28,7 +28,7 @@
     /// Tokens of its own, read and made.
     pub own: u32,
     /// Where a place is to be taken.
-    pub room: Room,
+    pub room: Admission,
     /// Time until its request must have ended.
     pub left_ms: u32,
 }
@@ -66,5 +66,5 @@
     /// Lower half of the hash of the engine's id.
     pub engine: u32,
     /// How the request ended; none when its first token has come.
-    pub ending: Option<Ending>,
+    pub ending: Option<Outcome>,
 }
--- a/crates/jb-relay/src/peers/mod.rs
+++ b/crates/jb-relay/src/peers/mod.rs
@@ -2,7 +2,6 @@
 //! limits, evidence on poison requests, and changes of the store. What is too long for datagrams is transferred over
 //! connections.
 
-mod account;
 mod broadcast;
 mod change_log;
 mod directory;
@@ -17,6 +16,7 @@
 mod reachability;
 mod register;
 mod releases;
+mod reservation;
 mod round_trip;
 mod socket;
 mod status;
@@ -24,10 +24,9 @@
 mod transfer;
 mod weights;
 
-pub use account::{Accounts, Ending, Held, Prompt, View, ask as ask_account, draw, hold, sweep};
 pub use change_log::ChangeLog;
 pub use directory::{Directory, Peer};
-pub use message::{Room, UpstreamLoad};
+pub use message::{Admission, UpstreamLoad};
 pub use outbox::{Outbox, announce_draining, announce_prompt, announce_rate_limit, announce_replaced};
 pub use pull::{Error as PullError, PendingPull, Source, Update, is_fresh, pull_changes};
 pub use quarantine_record::apply_record as apply_quarantine_record;
@@ -36,6 +35,10 @@
 pub use reachability::{Fleet, Reachability, is_hall_isolated};
 pub use register::{KEYS, list, list_few, register, write_address};
 pub use releases::discover as discover_releases;
+pub use reservation::{
+    EngineState, Outcome, Prompt, Reservation, Reservations, draw_reservation_id, expire_reservations, hold,
+    request as request_reservation,
+};
 pub use round_trip::RoundTrips;
 pub use socket::{bind, receive as receive_messages};
 pub use status::{Loads, Placed, Received, note_use, publish as publish_status};
--- a/crates/jb-relay/src/peers/outbox.rs
+++ b/crates/jb-relay/src/peers/outbox.rs
@@ -10,10 +10,10 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-use super::account;
 use super::broadcast::broadcast;
 use super::message::{Draining, Message, Replaced, Sent};
 use super::rate_limit;
+use super::reservation;
 use super::status::add_prompt;
 use crate::core::Core;
 use crate::saturating_cast::saturating_cast;
@@ -138,7 +138,7 @@
 
 /// Receives upstreams that drain, as another box reports.
 pub(super) fn receive_draining(core: &Core, from: SocketAddr, draining: &Draining) {
-    if !account::is_known(core, from) {
+    if !reservation::is_known(core, from) {
         return;
     }
     for instance in core.upstreams.borrow_mut().note_draining(&draining.upstreams) {
--- a/crates/jb-relay/src/peers/quota.rs
+++ b/crates/jb-relay/src/peers/quota.rs
@@ -173,7 +173,7 @@
 
 /// Takes a charge of another box.
 pub(super) fn receive_charge(core: &Core, socket: &UdpSocket, from: SocketAddr, charge: &Charge) {
-    if super::account::is_known(core, from) {
+    if super::reservation::is_known(core, from) {
         try_send(
             core,
             socket,
--- a/crates/jb-relay/src/peers/rate_limit.rs
+++ b/crates/jb-relay/src/peers/rate_limit.rs
@@ -190,7 +190,7 @@
 
 /// Answers another box that asks for a permit.
 pub(super) fn receive_acquire(core: &Core, socket: &UdpSocket, from: SocketAddr, query: &Acquire) {
-    if !super::account::is_known(core, from) {
+    if !super::reservation::is_known(core, from) {
         return;
     }
     let answer = decide(core, query, Scope::of_query(query.is_fallback));
@@ -224,7 +224,7 @@
 
 /// Applies limits that another box announces.
 pub(super) fn receive_limits(core: &Core, from: SocketAddr, limits: &Limits) {
-    if !super::account::is_known(core, from) {
+    if !super::reservation::is_known(core, from) {
         return;
     }
     let mut upstreams = core.upstreams.borrow_mut();
--- a/crates/jb-relay/src/peers/reachability.rs
+++ b/crates/jb-relay/src/peers/reachability.rs
@@ -11,8 +11,8 @@
 use jb_protocol::id;
 use tokio::net::UdpSocket;
 
-use super::account;
 use super::message::{Count, Message};
+use super::reservation;
 use super::socket::send;
 use crate::core::Core;
 use crate::saturating_cast::saturating_cast;
@@ -107,7 +107,7 @@
 
 /// Receives the count of a relay node.
 pub(super) fn receive(core: &Core, from: SocketAddr, count: &Count) {
-    if !account::is_known(core, from) {
+    if !reservation::is_known(core, from) {
         return;
     }
     let now = core.now();
--- a/crates/jb-relay/src/peers/account.rs
+++ b/crates/jb-relay/src/peers/reservation.rs
@@ -1,4 +1,4 @@
-//! Accounts of engines: each has one owner in the engine's data hall, which the other boxes ask
+//! Reservations of engines: each has one owner in the engine's data hall, which the other boxes ask
 //! before they send a prompt.
 //!
 //! The owner is chosen among the reachable boxes by rendezvous hashing. A
@@ -19,7 +19,7 @@
 use tokio::net::UdpSocket;
 
 use super::inquiry::Inquiries;
-use super::message::{Advice, Message, Question, Returned, Room};
+use super::message::{Admission, Advice, Message, Question, Returned};
 use super::socket::try_send;
 use crate::core::{Core, Shared};
 use crate::saturating_cast::saturating_cast;
@@ -30,29 +30,29 @@
 
 /// How a request ended at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum Ending {
+pub enum Outcome {
     /// Well.
-    Well,
+    Succeeded,
     /// Through the engine's fault.
     Failed,
     /// Without telling anything about the engine.
-    Undecided,
+    Unknown,
 }
 
 /// What a box asks for itself.
 #[derive(Debug, Default)]
-pub struct Accounts {
+pub struct Reservations {
     inquiries: Inquiries<(Place, u32), Advice>,
 }
 
-impl Accounts {
+impl Reservations {
     /// Takes the socket to ask over.
     pub fn open(&self, socket: Rc<UdpSocket>) {
         self.inquiries.open(socket);
     }
 
     /// Id for a new place.
-    fn draw(&self, own: &str) -> Place {
+    fn draw_id(&self, own: &str) -> Place {
         place::weight(self.inquiries.draw_nonce(), place::name_hash(own))
     }
 }
@@ -70,7 +70,7 @@
 
 /// State of an engine by its account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct View {
+pub struct EngineState {
     /// Whether the engine may get requests.
     pub open: bool,
     /// Whether a place is taken.
@@ -86,55 +86,55 @@
 }
 
 /// A place that may have been taken; it is given back when dropped.
-pub struct Held {
+pub struct Reservation {
     core: Shared,
     engine: Instance,
     place: Place,
-    ending: Rc<Cell<Ending>>,
+    outcome: Rc<Cell<Outcome>>,
 }
 
-impl Held {
+impl Reservation {
     /// The first token has come.
-    pub fn begin(&self) {
+    pub fn note_first_token(&self) {
         give_back(&self.core, &self.engine, self.place, None);
     }
 
     /// Where the ending is noted before the place is given back.
-    pub fn ending(&self) -> Rc<Cell<Ending>> {
-        Rc::clone(&self.ending)
+    pub fn outcome(&self) -> Rc<Cell<Outcome>> {
+        Rc::clone(&self.outcome)
     }
 }
 
-impl Drop for Held {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        give_back(&self.core, &self.engine, self.place, Some(self.ending.get()));
+        give_back(&self.core, &self.engine, self.place, Some(self.outcome.get()));
     }
 }
 
 /// Id under which a box asks for one send.
-pub fn draw(core: &Core) -> Place {
-    core.accounts.draw(&core.settings.id)
+pub fn draw_reservation_id(core: &Core) -> Place {
+    core.accounts.draw_id(&core.settings.id)
 }
 
 /// A place at an engine, to be given back.
-pub fn hold(core: &Shared, engine: &Instance, place: Place) -> Held {
-    Held {
+pub fn hold(core: &Shared, engine: &Instance, place: Place) -> Reservation {
+    Reservation {
         core: Rc::clone(core),
         engine: engine.clone(),
         place,
-        ending: Rc::new(Cell::new(Ending::Undecided)),
+        outcome: Rc::new(Cell::new(Outcome::Unknown)),
     }
 }
 
 /// Asks the account of an engine for a place, which is taken as `room` says; `None` when no box
 /// answers in time.
-pub async fn ask(
+pub async fn request(
     core: &Core,
     engine: &Instance,
     place: Place,
     prompt: &Prompt<'_>,
-    room: Room,
-) -> Option<View> {
+    room: Admission,
+) -> Option<EngineState> {
     let (name, owner) = owner(core, engine)?;
     let question = Question {
         place,
@@ -174,8 +174,8 @@
     }
 }
 
-fn view(advice: Advice) -> View {
-    View {
+fn view(advice: Advice) -> EngineState {
+    EngineState {
         open: advice.open,
         taken: advice.taken,
         load: Load {
@@ -202,7 +202,7 @@
     Some((name, owner))
 }
 
-fn give_back(core: &Core, engine: &Instance, place: Place, ending: Option<Ending>) {
+fn give_back(core: &Core, engine: &Instance, place: Place, ending: Option<Outcome>) {
     let Some((name, owner)) = owner(core, engine) else {
         return;
     };
@@ -280,9 +280,9 @@
     let open = upstream.is_open(now);
     let slots = upstream.entry.slots;
     let taken = match question.room {
-        Room::Any => true,
-        Room::None => false,
-        Room::Ahead(ahead) => open && load.has_room(slots, u64::from(ahead)),
+        Admission::Always => true,
+        Admission::Inspect => false,
+        Admission::QueueLimit(limit) => open && load.has_room(slots, u64::from(limit)),
     };
     let family = family(upstream, &shared);
     let stored = family.is_some_and(|family| upstream.account.is_sent(family, now));
@@ -320,7 +320,7 @@
 }
 
 /// Drops places that were never given back.
-pub fn sweep(core: &Core) {
+pub fn expire_reservations(core: &Core) {
     let now = core.now();
     for upstream in core.upstreams.borrow_mut().values_mut() {
         if upstream.account.expire(now) > 0 {
@@ -351,9 +351,9 @@
     };
     let now = core.now();
     let change = match returned.ending {
-        Some(Ending::Well) => upstream.health.succeeded(),
+        Some(Outcome::Succeeded) => upstream.health.succeeded(),
         // What was sent before the engine was ejected shows nothing new.
-        Some(Ending::Failed) if upstream.health.is_open(now) => upstream.health.failed(now),
+        Some(Outcome::Failed) if upstream.health.is_open(now) => upstream.health.failed(now),
         _ => {
             upstream.health.undecided();
             Change::None
--- a/crates/jb-relay/src/peers/socket.rs
+++ b/crates/jb-relay/src/peers/socket.rs
@@ -9,7 +9,9 @@
 use tokio::time::sleep;
 
 use super::message::{LONGEST, Message};
-use super::{account, broadcast, outbox, pull, quota, rate_limit, reachability, releases, status, suspicion};
+use super::{
+    broadcast, outbox, pull, quota, rate_limit, reachability, releases, reservation, status, suspicion,
+};
 use crate::core::{Core, Shared};
 
 /// Pause after an error of the socket.
@@ -119,9 +121,9 @@
         Message::News(news) => core.relayed.deliver(news),
         Message::Sent(sent) => outbox::take_sent(core, &sent),
         Message::Replaced(replaced) => outbox::receive_replaced(core, &replaced),
-        Message::Question(question) => account::receive_question(core, socket, from, &question),
-        Message::Advice(advice) => account::deliver(core, advice),
-        Message::Returned(returned) => account::receive_returned(core, from, &returned),
+        Message::Question(question) => reservation::receive_question(core, socket, from, &question),
+        Message::Advice(advice) => reservation::deliver(core, advice),
+        Message::Returned(returned) => reservation::receive_returned(core, from, &returned),
         Message::Heard(count) => reachability::receive(core, from, &count),
         Message::Charge(charge) => quota::receive_charge(core, socket, from, &charge),
         Message::Grant(grant) => quota::deliver(core, grant),
--- a/crates/jb-relay/src/peers/suspicion.rs
+++ b/crates/jb-relay/src/peers/suspicion.rs
@@ -13,10 +13,10 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-use super::account;
 use super::broadcast::broadcast;
 use super::message::{Message, Suspect, Suspects};
 use super::quarantine_record;
+use super::reservation;
 use super::socket::send;
 use crate::core::{Core, Shared};
 use crate::quarantine::{self, News, Trial};
@@ -110,7 +110,7 @@
 
 /// Receives evidence from another box.
 pub(super) fn receive(core: &Core, from: SocketAddr, suspects: &Suspects) {
-    if !account::is_known(core, from) {
+    if !reservation::is_known(core, from) {
         return;
     }
     for suspect in &suspects.rows {
--- a/crates/jb-relay/src/start.rs
+++ b/crates/jb-relay/src/start.rs
@@ -139,7 +139,7 @@
         sleep(SWEEP).await;
         suspended = note_suspension(&core, suspended);
         link::sweep(&core);
-        peers::sweep(&core);
+        peers::expire_reservations(&core);
     }
 }
 
