--- a/crates/jb-relay/src/cache_scan.rs
+++ b/crates/jb-relay/src/cache_scan.rs
@@ -29,7 +29,7 @@
     while core.age().is_none() {
         sleep(LOOK).await;
     }
-    peers::list(&core);
+    peers::refresh_directory(&core);
     // Before the first box was listed, the caches were empty.
     let (small, listed) = {
         let book = core.book.borrow();
--- a/crates/jb-relay/src/core.rs
+++ b/crates/jb-relay/src/core.rs
@@ -21,8 +21,8 @@
 use crate::mirror::Mirror;
 use crate::names::Names;
 use crate::peers::{
-    ChangeLog, Directory, Gathered, Loads, Outbox, PendingPull, Permit, Quotas, RateLimits, Reachability,
-    Reservations, RoundTrips, Source, Transfers,
+    ChangeLog, Directory, Loads, Outbox, PendingPull, PendingWeights, Permit, Quotas, RateLimits,
+    Reachability, Reservations, RoundTrips, Source, Transfers,
 };
 use crate::port::{Change, Engines, Era, Revision, Store};
 use crate::quarantine::Quarantine;
@@ -115,7 +115,7 @@
     /// Status of the other boxes.
     pub loads: RefCell<Loads>,
     /// Loads of weights that are about to be published.
-    pub gathered: RefCell<Gathered>,
+    pub gathered: RefCell<PendingWeights>,
     /// What is to be broadcast at once.
     pub notices: RefCell<Outbox>,
     /// Latest changes of the store, for other boxes.
--- a/crates/jb-relay/src/follow/facts.rs
+++ b/crates/jb-relay/src/follow/facts.rs
@@ -166,8 +166,8 @@
     let newer = known.is_none_or(|known| known.revision < item.revision);
     // A box that a restored store lacks is still at its address, and writes it again.
     let is_lost = known.is_some_and(|known| known.revision.era < item.revision.era) && item.value.is_none();
-    if newer && !(is_lost && item.key.starts_with(peers::KEYS)) {
-        if item.key.starts_with(peers::KEYS) {
+    if newer && !(is_lost && item.key.starts_with(peers::ADDRESS_KEY_PREFIX)) {
+        if item.key.starts_with(peers::ADDRESS_KEY_PREFIX) {
             core.addresses_changed.set(true);
         }
         if let Some(era) = settled::era(&item) {
--- a/crates/jb-relay/src/follow/run.rs
+++ b/crates/jb-relay/src/follow/run.rs
@@ -285,8 +285,11 @@
         apply(core, core.store.decode(change), change.revision, &mut tally);
     }
     tally.finish(core);
-    if changes.iter().any(|change| change.key.starts_with(peers::KEYS)) {
-        peers::list_few(core);
+    if changes
+        .iter()
+        .any(|change| change.key.starts_with(peers::ADDRESS_KEY_PREFIX))
+    {
+        peers::refresh_small_directory(core);
     }
     missing::sweep(core, &progress.partition);
     let mut log = core.log.borrow_mut();
--- a/crates/jb-relay/src/follow/start_up.rs
+++ b/crates/jb-relay/src/follow/start_up.rs
@@ -31,7 +31,10 @@
     core.metrics.store_calls.inc();
     let first = core.store.page("", None, Age::Stale).await.ok()?;
     let until = core.now() + PATIENCE;
-    let has_boxes = first.changes.iter().any(|item| item.key.starts_with(peers::KEYS));
+    let has_boxes = first
+        .changes
+        .iter()
+        .any(|item| item.key.starts_with(peers::ADDRESS_KEY_PREFIX));
     if !has_boxes {
         // Boxes that start together know each other by one more call then, and follow the store through one of them.
         peers::write_address(core, first.revision.era).await;
@@ -126,11 +129,11 @@
 /// Reads the addresses of the other boxes.
 async fn list(core: &Core, age: Age) -> Result<(), StoreError> {
     core.metrics.store_calls.inc();
-    let News { changes, .. } = core.store.items(peers::KEYS, age).await?;
+    let News { changes, .. } = core.store.items(peers::ADDRESS_KEY_PREFIX, age).await?;
     let mut tally = Tally::default();
     for change in changes {
         apply(core, core.store.decode(&change), change.revision, &mut tally);
     }
-    peers::list(core);
+    peers::refresh_directory(core);
     Ok(())
 }
--- a/crates/jb-relay/src/leader/load.rs
+++ b/crates/jb-relay/src/leader/load.rs
@@ -242,7 +242,7 @@
         let _place = self.place().await;
         let mut last_published = began;
         loop {
-            if core.now() > last_published + peers::LOADING / 2 {
+            if core.now() > last_published + peers::MAX_LOADING_TIME / 2 {
                 last_published = core.now();
                 peers::publish_weights(core, &self.socket, instance, model, None);
             }
--- a/crates/jb-relay/src/peers/mod.rs
+++ b/crates/jb-relay/src/peers/mod.rs
@@ -33,7 +33,9 @@
 pub use quota::{Charged, Quotas, charge};
 pub use rate_limit::{Permit, RateLimits, acquire, log_change};
 pub use reachability::{Fleet, Reachability, is_hall_isolated};
-pub use register::{KEYS, list, list_few, register, write_address};
+pub use register::{
+    ADDRESS_KEY_PREFIX, refresh_directory, refresh_small_directory, register_address, write_address,
+};
 pub use releases::discover as discover_releases;
 pub use reservation::{
     EngineState, Outcome, Prompt, Reservation, Reservations, draw_reservation_id, expire_reservations, hold,
@@ -44,4 +46,4 @@
 pub use status::{Loads, Placed, Received, note_use, publish as publish_status};
 pub use suspicion::publish as publish_suspects;
 pub use transfer::{Error as TransferError, Transfer, Transfers, fetch, serve as serve_transfers};
-pub use weights::{Gathered, LOADING, publish_weights};
+pub use weights::{MAX_LOADING_TIME, PendingWeights, publish_weights};
--- a/crates/jb-relay/src/peers/register.rs
+++ b/crates/jb-relay/src/peers/register.rs
@@ -15,16 +15,16 @@
 use crate::port::{Change, Era, Write};
 
 /// Beginning of the keys under which boxes give their addresses.
-pub const KEYS: &str = "junctionbend/box/";
+pub const ADDRESS_KEY_PREFIX: &str = "junctionbend/box/";
 /// Pause between two looks at the addresses.
 const LOOK: Duration = Duration::from_millis(200);
 /// Time after a write of the own address in which it isn't written again: an update is to show it.
 const REWRITE_INTERVAL: Duration = Duration::from_millis(2200);
 
 /// Writes the own address and data hall into the store, again whenever they are missing there.
-pub async fn register(core: Shared) {
+pub async fn register_address(core: Shared) {
     loop {
-        list(&core);
+        refresh_directory(&core);
         if core.age().is_some() {
             write_address(&core, core.era()).await;
         }
@@ -41,7 +41,7 @@
     }
     let address = SocketAddr::new(core.settings.ip, *port);
     let own = format!("{address} {} {}", core.settings.hall, core.settings.capacity.link);
-    let key = format!("{KEYS}{}", core.settings.id);
+    let key = format!("{ADDRESS_KEY_PREFIX}{}", core.settings.id);
     let known = core.own.borrow().get(&key).cloned();
     let there = known.filter(|item| item.value.is_some() && item.revision.era == era);
     let value = there.as_ref().and_then(|item| item.value.as_deref());
@@ -62,7 +62,7 @@
 }
 
 /// Updates the list of boxes from the store, if addresses have changed.
-pub fn list(core: &Core) {
+pub fn refresh_directory(core: &Core) {
     if core.addresses_changed.take() {
         core.book.borrow_mut().replace(read(core));
     }
@@ -70,11 +70,11 @@
 
 /// Does the same right after a read of the store in a small fleet. In a large one that starts together all
 /// boxes would ask their relay node for each other's addresses.
-pub fn list_few(core: &Core) {
+pub fn refresh_small_directory(core: &Core) {
     let is_there = |(_, item): &(&String, &Change)| item.value.is_some();
     let boxes = items(&core.own.borrow()).filter(is_there).take(SMALL + 1).count();
     if boxes <= SMALL {
-        list(core);
+        refresh_directory(core);
     }
 }
 
@@ -82,15 +82,15 @@
     let own = core.own.borrow();
     let peers = items(&own).filter_map(|(key, item)| {
         let value = std::str::from_utf8(item.value.as_deref()?).ok()?;
-        let id = &key[KEYS.len()..];
+        let id = &key[ADDRESS_KEY_PREFIX.len()..];
         Some((id.to_owned(), peer(id, value)?))
     });
     peers.collect()
 }
 
 fn items(own: &BTreeMap<String, Change>) -> impl Iterator<Item = (&String, &Change)> {
-    own.range(KEYS.to_owned()..)
-        .take_while(|(key, _)| key.starts_with(KEYS))
+    own.range(ADDRESS_KEY_PREFIX.to_owned()..)
+        .take_while(|(key, _)| key.starts_with(ADDRESS_KEY_PREFIX))
 }
 
 /// Decodes an address, a data hall and the bandwidth of the link; a box of an earlier version doesn't give that.
--- a/crates/jb-relay/src/peers/weights.rs
+++ b/crates/jb-relay/src/peers/weights.rs
@@ -14,14 +14,14 @@
 use crate::upstream::Instance;
 
 /// Time for which an engine that loads weights gets nothing, unless it is done before.
-pub const LOADING: Duration = Duration::from_millis(2500);
+pub const MAX_LOADING_TIME: Duration = Duration::from_millis(2500);
 /// Time for which publications are batched: a release begins and ends loads by tens at a time.
 const BATCH_DELAY: Duration = Duration::from_millis(15);
 /// Engines in one datagram.
 const MAX_PER_DATAGRAM: usize = 48;
 
 /// Engines that are about to be published.
-pub type Gathered = Vec<LoadedWeights>;
+pub type PendingWeights = Vec<LoadedWeights>;
 
 /// Publishes that an engine has a version of a model's weights, or loads one when there is none.
 pub fn publish_weights(
@@ -64,7 +64,7 @@
         return;
     };
     if loaded.version == 0 {
-        upstream.loading_until = now + LOADING;
+        upstream.loading_until = now + MAX_LOADING_TIME;
     } else {
         upstream.loading_until = now;
         upstream.observe_weights(&loaded.model, loaded.version);
--- a/crates/jb-relay/src/start.rs
+++ b/crates/jb-relay/src/start.rs
@@ -122,7 +122,7 @@
     spawn_local(peers::serve_transfers(Rc::clone(core), transfers));
     spawn_local(front::serve(Rc::clone(core), callers));
     spawn_local(ready::serve(Rc::clone(core), checks));
-    spawn_local(peers::register(Rc::clone(core)));
+    spawn_local(peers::register_address(Rc::clone(core)));
     spawn_local(peers::publish_status(Rc::clone(core), Rc::clone(&socket)));
     spawn_local(peers::receive_messages(Rc::clone(core), Rc::clone(&socket)));
     spawn_local(peers::discover_releases(Rc::clone(core), Rc::clone(&socket)));
