--- a/crates/jb-relay/src/peers/inquiry.rs
+++ b/crates/jb-relay/src/peers/inquiry.rs
@@ -74,7 +74,7 @@
         let mut book = core.book.borrow_mut();
         if let Ok(Ok(answer)) = answer {
             book.mark_alive(id);
-            core.round_trips.note(&hall, core.now().saturating_sub(asked));
+            core.round_trips.record(&hall, core.now().saturating_sub(asked));
             return Some(answer);
         }
         book.note_unanswered(id, core.now());
--- a/crates/jb-relay/src/peers/mod.rs
+++ b/crates/jb-relay/src/peers/mod.rs
@@ -32,7 +32,7 @@
 pub use quarantine_record::apply_record as apply_quarantine_record;
 pub use quota::{Charged, Quotas, charge};
 pub use rate_limit::{Permit, RateLimits, acquire, log_change};
-pub use reachability::{Fleet, Reachability, is_hall_isolated};
+pub use reachability::{FleetSize, Reachability, is_hall_isolated};
 pub use register::{
     ADDRESS_KEY_PREFIX, refresh_directory, refresh_small_directory, register_address, write_address,
 };
--- a/crates/jb-relay/src/peers/owner.rs
+++ b/crates/jb-relay/src/peers/owner.rs
@@ -33,7 +33,7 @@
 
     /// Share of the fleet that this box answers for, 0 to 1.
     pub(super) fn share(self, core: &Core) -> f64 {
-        let fleet = reachability::fleet(core);
+        let fleet = reachability::fleet_size(core);
         let listed = f64::from(saturating_cast(core.book.borrow().boxes()));
         let boxes = match self {
             Self::Fleet => fleet.all,
--- a/crates/jb-relay/src/peers/reachability.rs
+++ b/crates/jb-relay/src/peers/reachability.rs
@@ -36,13 +36,13 @@
     /// Boxes of each other data hall, as its relay node counted last.
     halls: BTreeMap<id::Hall, (Moment, u32)>,
     /// Boxes of the own data hall and of all, as the own relay node counted.
-    relay_node: Option<(Moment, Fleet)>,
+    relay_node: Option<(Moment, FleetSize)>,
     statuses: u32,
 }
 
 /// Boxes that reach each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Fleet {
+pub struct FleetSize {
     /// In the own data hall.
     pub hall: u32,
     /// In all data halls.
@@ -57,24 +57,24 @@
     }
 
     /// Returns the boxes that reach each other in a large fleet; `listed` are those that may be alive.
-    pub fn fleet(&self, listed: Fleet, now: Moment) -> Fleet {
+    pub fn fleet_size(&self, listed: FleetSize, now: Moment) -> FleetSize {
         match self.relay_node {
             Some((at, fleet)) if now < at + MAX_COUNT_AGE => fleet,
             None if now < STARTUP_PERIOD => listed,
-            _ => Fleet { hall: 1, all: 1 },
+            _ => FleetSize { hall: 1, all: 1 },
         }
     }
 
     /// Applies the count of the own relay node.
-    pub fn note(&mut self, fleet: Fleet, now: Moment) {
+    pub fn record(&mut self, fleet: FleetSize, now: Moment) {
         self.relay_node = Some((now, fleet));
     }
 
     /// Counts the fleet from the boxes of the own hall and the counts of other relay nodes.
-    fn sum(&self, hall: u32, now: Moment) -> Fleet {
+    fn sum(&self, hall: u32, now: Moment) -> FleetSize {
         let fresh = self.halls.values().filter(|(at, _)| now < *at + MAX_COUNT_AGE);
         let others: u32 = fresh.map(|(_, boxes)| boxes).sum();
-        Fleet {
+        FleetSize {
             hall,
             all: hall + others,
         }
@@ -90,7 +90,7 @@
     let members = core.loads.borrow().members(now.saturating_sub(MAX_MEMBER_AGE));
     let hall = saturating_cast(members.len() + 1);
     let fleet = core.reachability.borrow().sum(hall, now);
-    core.reachability.borrow_mut().note(fleet, now);
+    core.reachability.borrow_mut().record(fleet, now);
     let count = Message::Heard(Count {
         from: core.settings.id.clone(),
         hall: fleet.hall,
@@ -117,34 +117,34 @@
     };
     let mut reachability = core.reachability.borrow_mut();
     if *hall == core.settings.hall {
-        let fleet = Fleet {
+        let fleet = FleetSize {
             hall: count.hall,
             all: count.all,
         };
-        reachability.note(fleet, now);
+        reachability.record(fleet, now);
     } else {
         reachability.halls.insert(hall.clone(), (now, count.hall));
     }
 }
 
 /// Returns the boxes that reach each other, of those that may be alive.
-pub(super) fn fleet(core: &Core) -> Fleet {
+pub(super) fn fleet_size(core: &Core) -> FleetSize {
     let now = core.now();
     let book = core.book.borrow();
     let own_hall = &core.settings.hall;
-    let listed = Fleet {
+    let listed = FleetSize {
         hall: saturating_cast(book.boxes_in(own_hall)),
         all: saturating_cast(book.boxes()),
     };
     if !book.is_small() {
-        return core.reachability.borrow().fleet(listed, now);
+        return core.reachability.borrow().fleet_size(listed, now);
     }
     if now < STARTUP_PERIOD {
         return listed;
     }
     let senders = core.loads.borrow().senders(now.saturating_sub(MAX_COUNT_AGE));
     let near = senders.iter().filter(|id| book.hall(id) == Some(own_hall));
-    Fleet {
+    FleetSize {
         hall: saturating_cast(near.count() + 1),
         all: saturating_cast(senders.len() + 1),
     }
@@ -152,7 +152,7 @@
 
 /// Returns whether the boxes of the own data hall reach no box of another one, where there are others.
 pub fn is_hall_isolated(core: &Core) -> bool {
-    let fleet = fleet(core);
+    let fleet = fleet_size(core);
     let book = core.book.borrow();
     fleet.all <= fleet.hall && book.boxes() > book.boxes_in(&core.settings.hall)
 }
--- a/crates/jb-relay/src/peers/round_trip.rs
+++ b/crates/jb-relay/src/peers/round_trip.rs
@@ -22,7 +22,7 @@
 
 impl RoundTrips {
     /// Notes the time between a question to a box of a data hall and its answer.
-    pub fn note(&self, hall: &str, sample: Duration) {
+    pub fn record(&self, hall: &str, sample: Duration) {
         let mut halls = self.0.borrow_mut();
         match halls.get_mut(hall) {
             Some(smoothed) => {
--- a/crates/jb-relay/tests/reachability.rs
+++ b/crates/jb-relay/tests/reachability.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use jb_relay::peers::{Fleet, Reachability};
+use jb_relay::peers::{FleetSize, Reachability};
 
-const LISTED: Fleet = Fleet { hall: 25, all: 90 };
-const ALONE: Fleet = Fleet { hall: 1, all: 1 };
+const LISTED: FleetSize = FleetSize { hall: 25, all: 90 };
+const ALONE: FleetSize = FleetSize { hall: 1, all: 1 };
 
 const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -16,19 +16,19 @@
 #[test]
 fn all_listed_boxes_are_taken_to_be_there_while_nothing_was_told() {
     let reachability = Reachability::default();
-    assert_eq!(reachability.fleet(LISTED, ms(100)), LISTED);
-    assert_eq!(reachability.fleet(LISTED, ms(3999)), LISTED);
-    assert_eq!(reachability.fleet(LISTED, ms(4000)), ALONE);
+    assert_eq!(reachability.fleet_size(LISTED, ms(100)), LISTED);
+    assert_eq!(reachability.fleet_size(LISTED, ms(3999)), LISTED);
+    assert_eq!(reachability.fleet_size(LISTED, ms(4000)), ALONE);
 }
 
 #[test]
 fn count_of_the_relay_node_holds_until_it_is_old_and_then_the_box_is_alone() {
     let mut reachability = Reachability::default();
-    let most = Fleet { hall: 25, all: 68 };
-    reachability.note(most, ms(300));
-    assert_eq!(reachability.fleet(LISTED, ms(1799)), most);
+    let most = FleetSize { hall: 25, all: 68 };
+    reachability.record(most, ms(300));
+    assert_eq!(reachability.fleet_size(LISTED, ms(1799)), most);
     // Also right after the start: it had heard its relay node.
-    assert_eq!(reachability.fleet(LISTED, ms(1800)), ALONE);
+    assert_eq!(reachability.fleet_size(LISTED, ms(1800)), ALONE);
 }
 
 /// A relay node that had just started counted the few boxes that had told it something by then, and the
--- a/crates/jb-relay/tests/round_trip.rs
+++ b/crates/jb-relay/tests/round_trip.rs
@@ -12,7 +12,7 @@
 fn settle(way: Duration) -> Duration {
     let round_trips = RoundTrips::default();
     for _ in 0..50 {
-        round_trips.note("far", way);
+        round_trips.record("far", way);
     }
     round_trips.timeout("far", ANSWER)
 }
@@ -40,9 +40,9 @@
 #[test]
 fn estimate_follows_a_way_that_gets_shorter() {
     let round_trips = RoundTrips::default();
-    round_trips.note("far", Duration::from_millis(120));
+    round_trips.record("far", Duration::from_millis(120));
     for _ in 0..40 {
-        round_trips.note("far", Duration::from_millis(2));
+        round_trips.record("far", Duration::from_millis(2));
     }
     assert!(round_trips.timeout("far", ANSWER) < Duration::from_millis(30));
 }
