--- a/crates/jb-relay/src/exchange/prompt.rs
+++ b/crates/jb-relay/src/exchange/prompt.rs
@@ -11,7 +11,7 @@
 use super::ask::Advice;
 use super::place::{self, Among};
 use super::run::Exchange;
-use crate::peers::{self, Placed};
+use crate::peers::{self, SentPrompt};
 use crate::upstream::Instance;
 
 /// Own tokens for each shared token that a prompt sent to a store may have. The own part
@@ -109,13 +109,13 @@
         let found = upstream.cache.found(&ticket.prompt);
         upstream.set_memory(self.memory());
         upstream.cache.read(shared.iter().copied(), own);
-        let placed = Placed {
-            place: upstream.name,
+        let placed = SentPrompt {
+            target: upstream.name,
             version: 0,
             shared,
             own,
         };
-        peers::note_use(self.core, placed);
+        peers::record_cache_use(self.core, placed);
         let version = ticket.model.as_deref().and_then(|model| upstream.weights(model));
         Some((found, version))
     }
@@ -167,13 +167,13 @@
             return None;
         }
         store.note_store(shared.iter().copied(), version, own);
-        let placed = Placed {
-            place: store.name,
+        let placed = SentPrompt {
+            target: store.name,
             version,
             shared,
             own,
         };
-        peers::note_use(self.core, placed);
+        peers::record_cache_use(self.core, placed);
         Some(store.address)
     }
 
--- a/crates/jb-relay/src/peers/mod.rs
+++ b/crates/jb-relay/src/peers/mod.rs
@@ -43,7 +43,7 @@
 };
 pub use round_trip::RoundTrips;
 pub use socket::{bind, receive as receive_messages};
-pub use status::{Loads, Placed, Received, note_use, publish as publish_status};
+pub use status::{Loads, ReceivedStatus, SentPrompt, publish as publish_status, record_cache_use};
 pub use suspicion::publish as publish_suspects;
 pub use transfer::{Error as TransferError, Transfer, Transfers, fetch, serve as serve_transfers};
 pub use weights::{MAX_LOADING_TIME, PendingWeights, publish_weights};
--- a/crates/jb-relay/src/peers/status.rs
+++ b/crates/jb-relay/src/peers/status.rs
@@ -18,7 +18,7 @@
 use tokio::time::sleep;
 
 use self::compose::{messages, span};
-pub use self::loads::{Loads, Received};
+pub use self::loads::{Loads, ReceivedStatus};
 use super::broadcast::broadcast;
 use super::message::{CacheUse, Status, UpstreamLoad};
 use super::socket::send;
@@ -41,9 +41,9 @@
 
 /// A prompt that was sent to an engine, or to a store.
 #[derive(Clone, Copy, Debug)]
-pub struct Placed<'a> {
+pub struct SentPrompt<'a> {
     /// Hash of the engine's id, or of the store's address.
-    pub place: u64,
+    pub target: u64,
     /// Version of the weights, for a store; 0 for an engine.
     pub version: u64,
     /// Shared segments.
@@ -53,21 +53,21 @@
 }
 
 /// Notes a prompt for the next status. In a large fleet the accounts of engines have it.
-pub fn note_use(core: &Core, placed: Placed<'_>) {
+pub fn record_cache_use(core: &Core, prompt: SentPrompt<'_>) {
     let mut loads = core.loads.borrow_mut();
     if !core.book.borrow().is_small() || loads.own.len() >= MAX_QUEUED_USES {
         return;
     }
-    let shared = placed
+    let shared = prompt
         .shared
         .iter()
         .map(|segment| (segment.id, saturating_cast(segment.tokens)))
         .collect();
     loads.own.push(CacheUse {
-        place: placed.place,
-        version: placed.version,
+        place: prompt.target,
+        version: prompt.version,
         shared,
-        own: saturating_cast(placed.own),
+        own: saturating_cast(prompt.own),
     });
 }
 
@@ -195,16 +195,16 @@
         }
     }
     if status.has_loads() {
-        let (member, loads) = (status.wants_sum, status.loads);
-        let store = status.store.map(|status| span(status, now));
-        if let Some(span) = store {
+        let (is_member, loads) = (status.wants_sum, status.loads);
+        let store_span = status.store.map(|status| span(status, now));
+        if let Some(span) = store_span {
             core.note_store_seen(span);
         }
-        let received = Received {
+        let received = ReceivedStatus {
             at: now,
-            member,
+            is_member,
             loads,
-            store,
+            store_span,
         };
         let touched = core.loads.borrow_mut().put(&status.from, received);
         update_upstreams(core, &touched);
--- a/crates/jb-relay/src/peers/status/loads.rs
+++ b/crates/jb-relay/src/peers/status/loads.rs
@@ -21,7 +21,7 @@
 /// Status of the other boxes, and what this one has to send.
 #[derive(Debug, Default)]
 pub struct Loads {
-    received: BTreeMap<id::Box, Received>,
+    received: BTreeMap<id::Box, ReceivedStatus>,
     all: Sums,
     members: Sums,
     /// Prompts of this box since its last status.
@@ -32,15 +32,15 @@
 
 /// Status of another box.
 #[derive(Clone, Debug)]
-pub struct Received {
+pub struct ReceivedStatus {
     /// When it was received.
     pub at: Moment,
     /// Whether the sender receives sums from this box.
-    pub member: bool,
+    pub is_member: bool,
     /// Loads of the sender, or of the boxes that it sums up.
     pub loads: Vec<UpstreamLoad>,
     /// Span in which the store has answered the sender or others.
-    pub store: Option<Span>,
+    pub store_span: Option<Span>,
 }
 
 /// Loads of several boxes together, by upstream.
@@ -78,16 +78,16 @@
 }
 
 /// Adds a load of a status to the sums that it belongs to.
-fn add(all: &mut Sums, members: &mut Sums, status: &Received, load: &UpstreamLoad) {
+fn add(all: &mut Sums, members: &mut Sums, status: &ReceivedStatus, load: &UpstreamLoad) {
     all.add(load);
-    if status.member {
+    if status.is_member {
         members.add(load);
     }
 }
 
 impl Loads {
     /// Replaces the status of a box; returns the upstreams whose sums may have changed.
-    pub fn put(&mut self, from: &id::Box, status: Received) -> Vec<Name> {
+    pub fn put(&mut self, from: &id::Box, status: ReceivedStatus) -> Vec<Name> {
         let mut touched = self.drop_outdated(status.at);
         touched.extend(self.remove(from));
         for load in &status.loads {
@@ -120,7 +120,7 @@
         };
         for load in &status.loads {
             self.all.subtract(load);
-            if status.member {
+            if status.is_member {
                 self.members.subtract(load);
             }
         }
@@ -128,7 +128,7 @@
     }
 
     fn drop_outdated(&mut self, now: Moment) -> Vec<Name> {
-        let is_outdated = |received: &Received| now >= received.at + MAX_STATUS_AGE;
+        let is_outdated = |received: &ReceivedStatus| now >= received.at + MAX_STATUS_AGE;
         let outdated = self.received.iter().filter(|(_, received)| is_outdated(received));
         let outdated: Vec<id::Box> = outdated.map(|(id, _)| id.clone()).collect();
         outdated.iter().flat_map(|id| self.remove(id)).collect()
@@ -160,7 +160,7 @@
             .received
             .values()
             .filter(|received| now < received.at + MAX_STATUS_AGE);
-        received.filter_map(|received| received.store).collect()
+        received.filter_map(|received| received.store_span).collect()
     }
 
     /// When the relay node last sent its sum.
@@ -173,7 +173,7 @@
         let received = self
             .received
             .iter()
-            .filter(|(_, received)| received.member && received.at >= since);
+            .filter(|(_, received)| received.is_member && received.at >= since);
         received.map(|(id, _)| id.clone()).collect()
     }
 
--- a/crates/jb-relay/tests/loads.rs
+++ b/crates/jb-relay/tests/loads.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use jb_policy::Moment;
-use jb_relay::peers::{Loads, Received, UpstreamLoad};
+use jb_relay::peers::{Loads, ReceivedStatus, UpstreamLoad};
 use quickcheck::{Gen, QuickCheck};
 
 /// A status of one of a few boxes with loads on a few upstreams.
@@ -59,19 +59,19 @@
     totals
 }
 
-fn received(sent: &Sent, at: Moment) -> Received {
-    Received {
+fn received(sent: &Sent, at: Moment) -> ReceivedStatus {
+    ReceivedStatus {
         at,
-        member: sent.is_member,
+        is_member: sent.is_member,
         loads: sent.loads.iter().map(load).collect(),
-        store: None,
+        store_span: None,
     }
 }
 
 /// Whether sums that follow differences are those of the latest statuses.
 fn sums_agree(statuses: Vec<Sent>) -> bool {
     let mut loads = Loads::default();
-    let mut latest: BTreeMap<u8, Received> = BTreeMap::new();
+    let mut latest: BTreeMap<u8, ReceivedStatus> = BTreeMap::new();
     let mut now = Moment::ZERO;
     for sent in statuses {
         now += Duration::from_millis(sent.pause_ms);
@@ -79,14 +79,14 @@
         loads.put(&name(sent.from), status.clone());
         latest.insert(sent.from, status);
         latest.retain(|_, status| now < status.at + Duration::from_millis(1500));
-        let all = |chosen: &dyn Fn(u8, &Received) -> bool| {
+        let all = |chosen: &dyn Fn(u8, &ReceivedStatus) -> bool| {
             let chosen = latest.iter().filter(|(from, status)| chosen(**from, status));
             totals(chosen.flat_map(|(_, status)| status.loads.clone()))
         };
         let without = loads.sum_without(&name(sent.from), Vec::new());
         let members = loads.sum_of_members(Vec::new());
         if totals(without.into_iter()) != all(&|from, _| from != sent.from)
-            || totals(members.into_iter()) != all(&|_, status| status.member)
+            || totals(members.into_iter()) != all(&|_, status| status.is_member)
         {
             return false;
         }
@@ -108,9 +108,9 @@
     for boxes in [1000, 2000] {
         let mut loads = Loads::default();
         let now = Moment::ZERO;
-        let status = |first: u32| Received {
+        let status = |first: u32| ReceivedStatus {
             at: now,
-            member: true,
+            is_member: true,
             loads: (first..first + 2)
                 .map(|upstream| UpstreamLoad {
                     upstream,
@@ -118,7 +118,7 @@
                     ..UpstreamLoad::default()
                 })
                 .collect(),
-            store: None,
+            store_span: None,
         };
         for number in 0..boxes {
             loads.put(&format!("box-{number}"), status(number * 10));
