--- a/crates/jb-relay/src/exchange/ask.rs
+++ b/crates/jb-relay/src/exchange/ask.rs
@@ -61,7 +61,7 @@
         prompt: Prompt {
             shared,
             own: last.tokens + ticket.out,
-            until: ticket.until,
+            deadline: ticket.until,
         },
         tuning: place::tuning(core, ticket),
         place: peers::draw_reservation_id(core),
@@ -81,7 +81,7 @@
         Looked::Chosen(choice) => return Some(*choice),
         Looked::At(asked) => asked,
     };
-    asked.retain(|asked| asked.view.open);
+    asked.retain(|asked| asked.view.is_open);
     ask.compare(ticket, asked, tried.is_empty()).await
 }
 
@@ -139,8 +139,8 @@
             return Looked::Chosen(Box::new(unadvised(held, own)));
         };
         let first = self.asked(own, view);
-        if let Some(own) = first.as_ref().filter(|_| view.taken) {
-            let missing = self.wanted.demand.shared().saturating_sub(view.found);
+        if let Some(own) = first.as_ref().filter(|_| view.is_reserved) {
+            let missing = self.wanted.demand.shared().saturating_sub(view.cached_tokens);
             let rest = if missing >= MIN_SHARED {
                 self.look(&self.holders(family, &own.instance)).await
             } else {
@@ -155,7 +155,7 @@
 
     /// The best of the engines looked at, and whether the prompt goes there now.
     async fn compare(&self, ticket: &Ticket, mut asked: Vec<Asked>, first: bool) -> Option<Choice> {
-        let most = asked.iter().map(|asked| asked.view.found).max()?;
+        let most = asked.iter().map(|asked| asked.view.cached_tokens).max()?;
         for asked in &mut asked {
             asked.candidate.elsewhere = asked.candidate.elsewhere.max(most);
         }
@@ -213,12 +213,15 @@
             upstreams.instance(instance)?.weights(model)
         };
         let better = rest.iter().filter(|other| {
-            other.view.found > best.view.found && weights(&other.instance) == weights(&best.instance)
-        });
-        let other = better.max_by_key(|other| other.view.found).and_then(|other| {
-            let upstream = upstreams.instance(&other.instance)?;
-            Some((upstream.entry.address, other.view.found))
+            other.view.cached_tokens > best.view.cached_tokens
+                && weights(&other.instance) == weights(&best.instance)
         });
+        let other = better
+            .max_by_key(|other| other.view.cached_tokens)
+            .and_then(|other| {
+                let upstream = upstreams.instance(&other.instance)?;
+                Some((upstream.entry.address, other.view.cached_tokens))
+            });
         Choice {
             estimate: self.estimate(best),
             verdict: Verdict::Send,
@@ -227,10 +230,10 @@
             advice: Some(Advice {
                 held,
                 load: best.view.load,
-                found: best.view.found,
+                found: best.view.cached_tokens,
                 other,
                 send_to_store: best.view.send_to_store,
-                stored: best.view.stored,
+                stored: best.view.is_stored,
             }),
             instance: best.instance.clone(),
         }
@@ -264,8 +267,8 @@
         let candidate = Candidate {
             running: view.load.running,
             waiting: view.load.waiting,
-            found: view.found,
-            elsewhere: if view.stored { shared } else { 0 },
+            found: view.cached_tokens,
+            elsewhere: if view.is_stored { shared } else { 0 },
             ..upstream.candidate(&self.wanted, behind)
         };
         Some(Asked {
--- a/crates/jb-relay/src/peers/reservation.rs
+++ b/crates/jb-relay/src/peers/reservation.rs
@@ -65,24 +65,24 @@
     /// Tokens of its own, read and made.
     pub own: u64,
     /// When its request must have ended.
-    pub until: Moment,
+    pub deadline: Moment,
 }
 
 /// State of an engine by its account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineState {
     /// Whether the engine may get requests.
-    pub open: bool,
+    pub is_open: bool,
     /// Whether a place is taken.
-    pub taken: bool,
+    pub is_reserved: bool,
     /// Load before.
     pub load: Load,
     /// Tokens of the prompt that the engine keeps.
-    pub found: u64,
+    pub cached_tokens: u64,
     /// Whether the engine is to send the parts to a store.
     pub send_to_store: bool,
     /// Whether a store has the parts.
-    pub stored: bool,
+    pub is_stored: bool,
 }
 
 /// A place that may have been taken; it is given back when dropped.
@@ -146,7 +146,7 @@
             .collect(),
         own: saturating_cast(prompt.own),
         room,
-        left_ms: saturating_cast(prompt.until.saturating_sub(core.now()).as_millis()),
+        left_ms: saturating_cast(prompt.deadline.saturating_sub(core.now()).as_millis()),
     };
     let Some((id, address)) = owner else {
         return Some(view(answer(core, &question)?));
@@ -176,15 +176,15 @@
 
 fn view(advice: Advice) -> EngineState {
     EngineState {
-        open: advice.open,
-        taken: advice.taken,
+        is_open: advice.open,
+        is_reserved: advice.taken,
         load: Load {
             running: advice.running,
             waiting: u64::from(advice.waiting),
         },
-        found: u64::from(advice.found),
+        cached_tokens: u64::from(advice.found),
         send_to_store: advice.send_to_store,
-        stored: advice.stored,
+        is_stored: advice.stored,
     }
 }
 
