--- a/crates/jb-relay/src/exchange/run.rs
+++ b/crates/jb-relay/src/exchange/run.rs
@@ -108,7 +108,7 @@
                 return self.give_up(self.refused.map_or(why, |refused| refused.why));
             };
             // Where it is denied, the upstream isn't open any more when the next one is picked.
-            let Ok(permit) = peers::acquire(self.core, &choice.instance).await else {
+            let Ok(permit) = peers::acquire_permit(self.core, &choice.instance).await else {
                 continue;
             };
             let paid = std::mem::take(&mut self.paid) || self.sends == 0;
--- a/crates/jb-relay/src/follow/start_up.rs
+++ b/crates/jb-relay/src/follow/start_up.rs
@@ -105,7 +105,7 @@
 async fn from_any(core: &Core, sources: &[SocketAddr], after: Option<Revision>) -> Attempt {
     let mut failed = Attempt::Nowhere;
     for source in sources {
-        match peers::fetch(core, *source, after).await {
+        match peers::fetch_changes(core, *source, after).await {
             Ok(transfer) => {
                 return Attempt::Done(Update {
                     from: Origin::Box(Source::RelayNode),
--- a/crates/jb-relay/src/peers/inquiry.rs
+++ b/crates/jb-relay/src/peers/inquiry.rs
@@ -36,7 +36,7 @@
 
 impl<K: Copy + Eq + Hash, A> Inquiries<K, A> {
     /// Takes the socket to ask over.
-    pub fn open(&self, socket: Rc<UdpSocket>) {
+    pub fn set_socket(&self, socket: Rc<UdpSocket>) {
         // A box is started once.
         let _ = self.socket.set(socket);
     }
--- a/crates/jb-relay/src/peers/mod.rs
+++ b/crates/jb-relay/src/peers/mod.rs
@@ -30,8 +30,8 @@
 pub use outbox::{Outbox, announce_draining, announce_prompt, announce_rate_limit, announce_replaced};
 pub use pull::{Error as PullError, PendingPull, Source, Update, is_fresh, pull_changes};
 pub use quarantine_record::apply_record as apply_quarantine_record;
-pub use quota::{Charged, Quotas, charge};
-pub use rate_limit::{Permit, RateLimits, acquire, log_change};
+pub use quota::{ChargedRequest, Quotas, charge};
+pub use rate_limit::{Permit, RateLimits, acquire_permit, log_rate_limit};
 pub use reachability::{FleetSize, Reachability, is_hall_isolated};
 pub use register::{
     ADDRESS_KEY_PREFIX, refresh_directory, refresh_small_directory, register_address, write_address,
@@ -45,5 +45,5 @@
 pub use socket::{bind, receive as receive_messages};
 pub use status::{Loads, ReceivedStatus, SentPrompt, publish as publish_status, record_cache_use};
 pub use suspicion::publish as publish_suspects;
-pub use transfer::{Error as TransferError, Transfer, Transfers, fetch, serve as serve_transfers};
+pub use transfer::{Error as TransferError, Transfer, Transfers, fetch_changes, serve as serve_transfers};
 pub use weights::{MAX_LOADING_TIME, PendingWeights, publish_weights};
--- a/crates/jb-relay/src/peers/pull.rs
+++ b/crates/jb-relay/src/peers/pull.rs
@@ -229,10 +229,12 @@
 }
 
 async fn transferred(core: &Core, from: SocketAddr, after: Revision) -> Result<Update, Error> {
-    let transfer = transfer::fetch(core, from, Some(after)).await.map_err(|why| {
-        emit!(core.logger, info, event::STORE_UPDATE_FAILED, "peer" => %from, "why" => %why);
-        Error::KnowsNoMore
-    })?;
+    let transfer = transfer::fetch_changes(core, from, Some(after))
+        .await
+        .map_err(|why| {
+            emit!(core.logger, info, event::STORE_UPDATE_FAILED, "peer" => %from, "why" => %why);
+            Error::KnowsNoMore
+        })?;
     Ok(Update {
         changes: transfer.changes,
         revision: transfer.revision,
--- a/crates/jb-relay/src/peers/quota.rs
+++ b/crates/jb-relay/src/peers/quota.rs
@@ -54,8 +54,8 @@
 
 impl Quotas {
     /// Takes the socket to ask over.
-    pub fn open(&self, socket: Rc<UdpSocket>) {
-        self.inquiries.open(socket);
+    pub fn set_socket(&self, socket: Rc<UdpSocket>) {
+        self.inquiries.set_socket(socket);
     }
 
     fn apply_grant(&self, grant: &Grant, now: Moment) {
@@ -80,13 +80,13 @@
 }
 
 /// A request that was let in.
-pub struct Charged<'a> {
+pub struct ChargedRequest<'a> {
     core: &'a Core,
     customer: u32,
     tokens: u64,
 }
 
-impl Charged<'_> {
+impl ChargedRequest<'_> {
     /// Gives back what has not run, and counts what may have run more than once.
     pub fn settle(self, runs: u32) {
         let tokens = i64::try_from(self.tokens).unwrap_or(i64::MAX);
@@ -100,7 +100,7 @@
 ///
 /// # Errors
 /// The time after which the request would be let in.
-pub async fn charge<'a>(core: &'a Shared, ticket: &Ticket) -> Result<Option<Charged<'a>>, Duration> {
+pub async fn charge<'a>(core: &'a Shared, ticket: &Ticket) -> Result<Option<ChargedRequest<'a>>, Duration> {
     let Some((name, tokens)) = ticket.customer.as_deref().zip(ticket.counts) else {
         return Ok(None);
     };
@@ -117,7 +117,7 @@
     let (owner, grant) = judge(core, &mut charge).await;
     core.quotas.apply_grant(&grant, core.now());
     let Some(after) = grant.after_ms else {
-        return Ok(Some(Charged {
+        return Ok(Some(ChargedRequest {
             core,
             customer,
             tokens,
--- a/crates/jb-relay/src/peers/rate_limit.rs
+++ b/crates/jb-relay/src/peers/rate_limit.rs
@@ -52,8 +52,8 @@
 
 impl RateLimits {
     /// Sets the socket for queries.
-    pub fn open(&self, socket: Rc<UdpSocket>) {
-        self.inquiries.open(socket);
+    pub fn set_socket(&self, socket: Rc<UdpSocket>) {
+        self.inquiries.set_socket(socket);
     }
 }
 
@@ -61,7 +61,7 @@
 ///
 /// # Errors
 /// The instance accepts no request now; until a permit may be available, it is not open at this box.
-pub async fn acquire(core: &Core, instance: &Instance) -> Result<Permit, Denied> {
+pub async fn acquire_permit(core: &Core, instance: &Instance) -> Result<Permit, Denied> {
     let Some((name, owner, observation)) = limited(core, instance) else {
         return Ok(Permit::Unlimited);
     };
@@ -238,12 +238,12 @@
 fn merge(core: &Core, upstream: &mut Upstream, observation: Observation) {
     let observation = from_message(observation, core.now());
     if upstream.limit.merge(observation) {
-        log_change(core, upstream, "peer");
+        log_rate_limit(core, upstream, "peer");
     }
 }
 
 /// Logs that the limit of an instance has changed.
-pub fn log_change(core: &Core, upstream: &Upstream, source: &'static str) {
+pub fn log_rate_limit(core: &Core, upstream: &Upstream, source: &'static str) {
     emit!(core.logger, info, event::UPSTREAM_LIMITED, "upstream" => %upstream.instance,
         "source" => source, "per_second" => upstream.limit.rate());
 }
--- a/crates/jb-relay/src/peers/reservation.rs
+++ b/crates/jb-relay/src/peers/reservation.rs
@@ -47,8 +47,8 @@
 
 impl Reservations {
     /// Takes the socket to ask over.
-    pub fn open(&self, socket: Rc<UdpSocket>) {
-        self.inquiries.open(socket);
+    pub fn set_socket(&self, socket: Rc<UdpSocket>) {
+        self.inquiries.set_socket(socket);
     }
 
     /// Id for a new place.
--- a/crates/jb-relay/src/peers/transfer.rs
+++ b/crates/jb-relay/src/peers/transfer.rs
@@ -104,7 +104,11 @@
 ///
 /// # Errors
 /// Why there is no answer.
-pub async fn fetch(core: &Core, from: SocketAddr, after: Option<Revision>) -> Result<Transfer, Error> {
+pub async fn fetch_changes(
+    core: &Core,
+    from: SocketAddr,
+    after: Option<Revision>,
+) -> Result<Transfer, Error> {
     let asked = core.now();
     let connecting = timeout(CONNECT_TIMEOUT, link::connect(from));
     let late = || Error::Unreachable(std::io::ErrorKind::TimedOut.into());
--- a/crates/jb-relay/src/signal.rs
+++ b/crates/jb-relay/src/signal.rs
@@ -112,7 +112,7 @@
     }
     let was_limited = upstream.limit.rate().is_some();
     if upstream.limit.observe(signals.limit, sent, now) {
-        peers::log_change(core, upstream, "response");
+        peers::log_rate_limit(core, upstream, "response");
     }
     if was_limited != upstream.limit.rate().is_some() {
         peers::announce_rate_limit(core, upstream);
--- a/crates/jb-relay/src/start.rs
+++ b/crates/jb-relay/src/start.rs
@@ -115,9 +115,9 @@
     }
     emit!(core.logger, info, event::BOX_STARTED, "callers" => %callers.local_addr()?,
         "peers" => port, "store" => %core.settings.store);
-    core.accounts.open(Rc::clone(&socket));
-    core.quotas.open(Rc::clone(&socket));
-    core.rate_limits.open(Rc::clone(&socket));
+    core.accounts.set_socket(Rc::clone(&socket));
+    core.quotas.set_socket(Rc::clone(&socket));
+    core.rate_limits.set_socket(Rc::clone(&socket));
     spawn_local(follow::run(Rc::clone(core), Rc::clone(&socket)));
     spawn_local(peers::serve_transfers(Rc::clone(core), transfers));
     spawn_local(front::serve(Rc::clone(core), callers));
