--- a/crates/jb-relay/src/core.rs
+++ b/crates/jb-relay/src/core.rs
@@ -21,8 +21,8 @@
 use crate::mirror::Mirror;
 use crate::names::Names;
 use crate::peers::{
-    Accounts, Book, Gathered, Loads, Log, Notices, Permit, Quotas, RateLimits, Reachability, Relayed,
-    RoundTrips, Source, Transfers,
+    ChangeLog, Directory, Loads, Outbox, PendingPull, PendingWeights, Permit, Quotas, RateLimits,
+    Reachability, Reservations, RoundTrips, Source, Transfers,
 };
 use crate::port::{Change, Engines, Era, Revision, Store};
 use crate::quarantine::Quarantine;
@@ -95,11 +95,11 @@
     /// Whether addresses of boxes have changed since the list was last updated.
     pub addresses_changed: Cell<bool>,
     /// Boxes that may be alive.
-    pub book: RefCell<Book>,
+    pub book: RefCell<Directory>,
     /// Time of the way to other boxes.
     pub round_trips: RoundTrips,
     /// Places that this box asks other boxes for.
-    pub accounts: Accounts,
+    pub accounts: Reservations,
     /// Data halls that this box can't connect to.
     pub reach: RefCell<HallReachability>,
     /// Boxes that reach each other.
@@ -115,13 +115,13 @@
     /// Status of the other boxes.
     pub loads: RefCell<Loads>,
     /// Loads of weights that are about to be published.
-    pub gathered: RefCell<Gathered>,
+    pub gathered: RefCell<PendingWeights>,
     /// What is to be broadcast at once.
-    pub notices: RefCell<Notices>,
+    pub notices: RefCell<Outbox>,
     /// Latest changes of the store, for other boxes.
-    pub log: RefCell<Log>,
+    pub log: RefCell<ChangeLog>,
     /// News that another box is asked for.
-    pub relayed: Relayed,
+    pub relayed: PendingPull,
     /// Transfers to other boxes.
     pub transfers: Transfers,
     /// Retry budget of each service.
@@ -177,7 +177,7 @@
             addresses_changed: Cell::default(),
             book: RefCell::default(),
             round_trips: RoundTrips::default(),
-            accounts: Accounts::default(),
+            accounts: Reservations::default(),
             reach: RefCell::default(),
             reachability: RefCell::default(),
             quotas: Quotas::default(),
@@ -188,7 +188,7 @@
             gathered: RefCell::default(),
             notices: RefCell::default(),
             log: RefCell::default(),
-            relayed: Relayed::default(),
+            relayed: PendingPull::default(),
             transfers: Transfers::default(),
             budgets: RefCell::default(),
             paces: RefCell::default(),
--- a/crates/jb-relay/src/peers/inquiry.rs
+++ b/crates/jb-relay/src/peers/inquiry.rs
@@ -36,7 +36,7 @@
 
 impl<K: Copy + Eq + Hash, A> Inquiries<K, A> {
     /// Takes the socket to ask over.
-    pub fn open(&self, socket: Rc<UdpSocket>) {
+    pub fn set_socket(&self, socket: Rc<UdpSocket>) {
         // A box is started once.
         let _ = self.socket.set(socket);
     }
@@ -73,11 +73,11 @@
         self.waiting.borrow_mut().remove(&key);
         let mut book = core.book.borrow_mut();
         if let Ok(Ok(answer)) = answer {
-            book.note_alive(id);
-            core.round_trips.note(&hall, core.now().saturating_sub(asked));
+            book.mark_alive(id);
+            core.round_trips.record(&hall, core.now().saturating_sub(asked));
             return Some(answer);
         }
-        book.gave_no_advice(id, core.now());
+        book.note_unanswered(id, core.now());
         None
     }
 
--- a/crates/jb-relay/src/peers/mod.rs
+++ b/crates/jb-relay/src/peers/mod.rs
@@ -2,21 +2,21 @@
 //! limits, evidence on poison requests, and changes of the store. What is too long for datagrams is transferred over
 //! connections.
 
-mod account;
-mod book;
 mod broadcast;
+mod change_log;
+mod directory;
 mod inquiry;
-mod log;
 mod message;
-mod notice;
+mod outbox;
 mod owner;
+mod pull;
 mod quarantine_record;
 mod quota;
 mod rate_limit;
 mod reachability;
 mod register;
-mod relay;
 mod releases;
+mod reservation;
 mod round_trip;
 mod socket;
 mod status;
@@ -24,21 +24,26 @@
 mod transfer;
 mod weights;
 
-pub use account::{Accounts, Ending, Held, Prompt, View, ask as ask_account, draw, hold, sweep};
-pub use book::{Book, Peer};
-pub use log::Log;
-pub use message::{Room, UpstreamLoad};
-pub use notice::{Notices, note_draining, note_limit, note_replaced, note_sent};
+pub use change_log::ChangeLog;
+pub use directory::{Directory, Peer};
+pub use message::{Admission, UpstreamLoad};
+pub use outbox::{Outbox, announce_draining, announce_prompt, announce_rate_limit, announce_replaced};
+pub use pull::{Error as PullError, PendingPull, Source, Update, is_fresh, pull_changes};
 pub use quarantine_record::apply_record as apply_quarantine_record;
-pub use quota::{Charged, Quotas, charge};
-pub use rate_limit::{Permit, RateLimits, acquire, log_change};
-pub use reachability::{Fleet, Reachability, is_hall_isolated};
-pub use register::{KEYS, list, list_few, register, write_address};
-pub use relay::{Error as AskError, Relayed, Source, Update, ask, is_recent};
+pub use quota::{ChargedRequest, Quotas, charge};
+pub use rate_limit::{Permit, RateLimits, acquire_permit, log_rate_limit};
+pub use reachability::{FleetSize, Reachability, is_hall_isolated};
+pub use register::{
+    ADDRESS_KEY_PREFIX, refresh_directory, refresh_small_directory, register_address, write_address,
+};
 pub use releases::discover as discover_releases;
+pub use reservation::{
+    EngineState, Outcome, Prompt, Reservation, Reservations, draw_reservation_id, expire_reservations, hold,
+    request as request_reservation,
+};
 pub use round_trip::RoundTrips;
 pub use socket::{bind, receive as receive_messages};
-pub use status::{Loads, Placed, Received, note_use, publish as publish_status};
+pub use status::{Loads, ReceivedStatus, SentPrompt, publish as publish_status, record_cache_use};
 pub use suspicion::publish as publish_suspects;
-pub use transfer::{Error as TransferError, Transfer, Transfers, fetch, serve as serve_transfers};
-pub use weights::{Gathered, LOADING, publish_weights};
+pub use transfer::{Error as TransferError, Transfer, Transfers, fetch_changes, serve as serve_transfers};
+pub use weights::{MAX_LOADING_TIME, PendingWeights, publish_weights};
--- a/crates/jb-relay/src/peers/relay.rs
+++ b/crates/jb-relay/src/peers/pull.rs
@@ -14,7 +14,7 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-use super::log::{Log, NUMBERS, size};
+use super::change_log::{ChangeLog, NUMBERS, size};
 use super::message::{Answer, Ask, AskMore, LONGEST, Message, News, Piece, StoreChange};
 use super::socket::send;
 use super::transfer;
@@ -34,11 +34,11 @@
 
 /// What fits into one datagram of the changes that a box asks for, but for the first `skip` ones,
 /// which it has.
-fn changes_since(log: &Log, ask: &Ask, skip: u32) -> Answer {
+fn changes_since(log: &ChangeLog, ask: &Ask, skip: u32) -> Answer {
     let Some(since) = log.since(ask.after) else {
         return Answer::TooLong;
     };
-    if skip == 0 && ask.from == 0 && log.size_since(ask.after) > MAX_DATAGRAM_BYTES {
+    if skip == 0 && ask.from == 0 && log.encoded_size_since(ask.after) > MAX_DATAGRAM_BYTES {
         return Answer::TooLong;
     }
     let mut room = LONGEST - FRAME;
@@ -87,12 +87,12 @@
 
 /// The question that waits for its answer.
 #[derive(Debug, Default)]
-pub struct Relayed {
+pub struct PendingPull {
     nonce: Cell<u64>,
     waiting: RefCell<Option<(u64, oneshot::Sender<News>)>>,
 }
 
-impl Relayed {
+impl PendingPull {
     /// Hands an answer to the question that it belongs to.
     pub(super) fn deliver(&self, news: News) {
         let mut waiting = self.waiting.borrow_mut();
@@ -129,7 +129,12 @@
 ///
 /// # Errors
 /// Why the last box that was asked brought none.
-pub async fn ask(core: &Core, socket: &UdpSocket, after: Revision, source: Source) -> Result<Update, Error> {
+pub async fn pull_changes(
+    core: &Core,
+    socket: &UdpSocket,
+    after: Revision,
+    source: Source,
+) -> Result<Update, Error> {
     let relay_nodes = match source {
         Source::RelayNode => own_relay_node(core).into_iter().collect(),
         Source::AnyRelayNode => any_relay_node(core),
@@ -183,7 +188,7 @@
             from: saturating_cast(value.len()),
         };
         let Some(news) = question(core, socket, address, ask, saturating_cast(all.len())).await else {
-            core.book.borrow_mut().missed(relay_node, core.now());
+            core.book.borrow_mut().mark_silent(relay_node, core.now());
             return Err(Error::Silent);
         };
         if let Some(present) = era_of(&news.answer)
@@ -224,10 +229,12 @@
 }
 
 async fn transferred(core: &Core, from: SocketAddr, after: Revision) -> Result<Update, Error> {
-    let transfer = transfer::fetch(core, from, Some(after)).await.map_err(|why| {
-        emit!(core.logger, info, event::STORE_UPDATE_FAILED, "peer" => %from, "why" => %why);
-        Error::KnowsNoMore
-    })?;
+    let transfer = transfer::fetch_changes(core, from, Some(after))
+        .await
+        .map_err(|why| {
+            emit!(core.logger, info, event::STORE_UPDATE_FAILED, "peer" => %from, "why" => %why);
+            Error::KnowsNoMore
+        })?;
     Ok(Update {
         changes: transfer.changes,
         revision: transfer.revision,
@@ -284,14 +291,14 @@
 }
 
 /// Returns whether a box may send what it knows, by its age.
-pub fn is_recent(age: Duration) -> bool {
+pub fn is_fresh(age: Duration) -> bool {
     age < OLDEST
 }
 
 /// Answers another box that has the first `skip` changes already.
 pub(super) async fn answer(core: &Core, socket: &UdpSocket, from: SocketAddr, ask: Ask, skip: u32) {
     // Without knowledge, or with old knowledge, the asker is better off with the store.
-    let age = core.age().filter(|age| is_recent(*age));
+    let age = core.age().filter(|age| is_fresh(*age));
     let answer = age.map_or(Answer::ReadYourself, |_| {
         changes_since(&core.log.borrow(), &ask, skip)
     });
--- a/crates/jb-relay/src/peers/socket.rs
+++ b/crates/jb-relay/src/peers/socket.rs
@@ -10,7 +10,7 @@
 
 use super::message::{LONGEST, Message};
 use super::{
-    account, broadcast, notice, quota, rate_limit, reachability, relay, releases, status, suspicion,
+    broadcast, outbox, pull, quota, rate_limit, reachability, releases, reservation, status, suspicion,
 };
 use crate::core::{Core, Shared};
 
@@ -116,21 +116,21 @@
 async fn apply(core: &Shared, socket: &UdpSocket, from: SocketAddr, message: Message) {
     match message {
         Message::Status(status) => status::receive(core, socket, from, status).await,
-        Message::Ask(ask) => relay::answer(core, socket, from, ask, 0).await,
-        Message::AskMore(more) => relay::answer(core, socket, from, more.ask, more.skip).await,
+        Message::Ask(ask) => pull::answer(core, socket, from, ask, 0).await,
+        Message::AskMore(more) => pull::answer(core, socket, from, more.ask, more.skip).await,
         Message::News(news) => core.relayed.deliver(news),
-        Message::Sent(sent) => notice::take_sent(core, &sent),
-        Message::Replaced(replaced) => notice::receive_replaced(core, &replaced),
-        Message::Question(question) => account::receive_question(core, socket, from, &question),
-        Message::Advice(advice) => account::deliver(core, advice),
-        Message::Returned(returned) => account::receive_returned(core, from, &returned),
+        Message::Sent(sent) => outbox::take_sent(core, &sent),
+        Message::Replaced(replaced) => outbox::receive_replaced(core, &replaced),
+        Message::Question(question) => reservation::receive_question(core, socket, from, &question),
+        Message::Advice(advice) => reservation::deliver(core, advice),
+        Message::Returned(returned) => reservation::receive_returned(core, from, &returned),
         Message::Heard(count) => reachability::receive(core, from, &count),
         Message::Charge(charge) => quota::receive_charge(core, socket, from, &charge),
         Message::Grant(grant) => quota::deliver(core, grant),
         Message::AskReleases(asked) => releases::answer(core, socket, from, asked).await,
         Message::Releases(answer) => releases::receive(core, answer),
         Message::Suspects(suspects) => suspicion::receive(core, from, &suspects),
-        Message::Draining(draining) => notice::receive_draining(core, from, &draining),
+        Message::Draining(draining) => outbox::receive_draining(core, from, &draining),
         Message::Limits(limits) => rate_limit::receive_limits(core, from, &limits),
         Message::Acquire(query) => rate_limit::receive_acquire(core, socket, from, &query),
         Message::Permit(answer) => rate_limit::deliver(core, answer),
--- a/crates/jb-relay/src/peers/transfer.rs
+++ b/crates/jb-relay/src/peers/transfer.rs
@@ -18,7 +18,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::message::StoreChange;
-use super::relay::is_recent;
+use super::pull::is_fresh;
 use crate::core::{Core, Shared};
 use crate::port::{Change, Revision};
 use crate::saturating_cast::saturating_cast;
@@ -104,7 +104,11 @@
 ///
 /// # Errors
 /// Why there is no answer.
-pub async fn fetch(core: &Core, from: SocketAddr, after: Option<Revision>) -> Result<Transfer, Error> {
+pub async fn fetch_changes(
+    core: &Core,
+    from: SocketAddr,
+    after: Option<Revision>,
+) -> Result<Transfer, Error> {
     let asked = core.now();
     let connecting = timeout(CONNECT_TIMEOUT, link::connect(from));
     let late = || Error::Unreachable(std::io::ErrorKind::TimedOut.into());
@@ -197,10 +201,10 @@
     let query: Query = postcard::from_bytes(&query).map_err(std::io::Error::other)?;
     // A box that starts asks right after it has registered.
     let until = core.now() + HOLD_TIME;
-    while core.now() < until && !(can_answer(core, &query) && core.book.borrow().knows_host(host)) {
+    while core.now() < until && !(can_answer(core, &query) && core.book.borrow().contains_host(host)) {
         sleep(LOOK).await;
     }
-    if !core.book.borrow().knows_host(host) {
+    if !core.book.borrow().contains_host(host) {
         core.metrics.strange.inc();
         return Err(std::io::ErrorKind::PermissionDenied.into());
     }
@@ -225,7 +229,7 @@
 fn can_answer(core: &Core, query: &Query) -> bool {
     match query.after {
         None => core.knows_store(),
-        Some(_) => core.age().is_some_and(is_recent),
+        Some(_) => core.age().is_some_and(is_fresh),
     }
 }
 
--- a/crates/jb-relay/src/start.rs
+++ b/crates/jb-relay/src/start.rs
@@ -115,14 +115,14 @@
     }
     emit!(core.logger, info, event::BOX_STARTED, "callers" => %callers.local_addr()?,
         "peers" => port, "store" => %core.settings.store);
-    core.accounts.open(Rc::clone(&socket));
-    core.quotas.open(Rc::clone(&socket));
-    core.rate_limits.open(Rc::clone(&socket));
+    core.accounts.set_socket(Rc::clone(&socket));
+    core.quotas.set_socket(Rc::clone(&socket));
+    core.rate_limits.set_socket(Rc::clone(&socket));
     spawn_local(follow::run(Rc::clone(core), Rc::clone(&socket)));
     spawn_local(peers::serve_transfers(Rc::clone(core), transfers));
     spawn_local(front::serve(Rc::clone(core), callers));
     spawn_local(ready::serve(Rc::clone(core), checks));
-    spawn_local(peers::register(Rc::clone(core)));
+    spawn_local(peers::register_address(Rc::clone(core)));
     spawn_local(peers::publish_status(Rc::clone(core), Rc::clone(&socket)));
     spawn_local(peers::receive_messages(Rc::clone(core), Rc::clone(&socket)));
     spawn_local(peers::discover_releases(Rc::clone(core), Rc::clone(&socket)));
@@ -139,7 +139,7 @@
         sleep(SWEEP).await;
         suspended = note_suspension(&core, suspended);
         link::sweep(&core);
-        peers::sweep(&core);
+        peers::expire_reservations(&core);
     }
 }
 
