--- a/crates/jb-daemon/src/decide/worker.rs
+++ b/crates/jb-daemon/src/decide/worker.rs
@@ -8,7 +8,7 @@
 use jb_policy::hall::Summary;
 use jb_policy::health::Change;
 use jb_policy::limit::{Limits, Over};
-use jb_policy::place;
+use jb_policy::rendezvous;
 use jb_policy::route::{Choice, Permit, Pool, Refused};
 use jb_policy::signal::Signals;
 use jb_protocol::error::Kind;
@@ -48,7 +48,7 @@
         pools: BTreeMap::new(),
         limits: Limits::default(),
         boxes: 1,
-        phase: place::fraction(place::name_hash(id)),
+        phase: rendezvous::fraction(rendezvous::name_hash(id)),
         leaving: Vec::new(),
     };
     thread::Builder::new()
--- a/crates/jb-daemon/src/quarantine.rs
+++ b/crates/jb-daemon/src/quarantine.rs
@@ -7,8 +7,8 @@
 
 use futures_util::future::select_ok;
 use jb_policy::Moment;
-use jb_policy::place;
 use jb_policy::poison::{Content, Engine, Evidence, Ledger, Row, Verdict};
+use jb_policy::rendezvous;
 use jb_protocol::{event, id};
 use jb_wire::peer::Suspect;
 use tokio::io::AsyncReadExt;
@@ -103,7 +103,7 @@
 /// of its own.
 pub fn engine(upstream: &str, incarnation: Option<id::Incarnation>) -> Engine {
     let instance = incarnation.unwrap_or_default();
-    place::short(place::weight(place::name_hash(upstream), instance))
+    rendezvous::short_hash(rendezvous::weight(rendezvous::name_hash(upstream), instance))
 }
 
 /// Receives the evidence of another box.
--- a/crates/jb-daemon/src/serve/completions.rs
+++ b/crates/jb-daemon/src/serve/completions.rs
@@ -198,7 +198,7 @@
     };
     let wish = Wish {
         key: claim::key(customer, service, key),
-        claimant: jb_policy::place::name_hash(id),
+        claimant: jb_policy::rendezvous::name_hash(id),
     };
     match context.claims.claim(wish).await {
         Ok(Verdict::Granted) => Ok(()),
--- a/crates/jb-policy/src/cell.rs
+++ b/crates/jb-policy/src/cell.rs
@@ -7,8 +7,8 @@
 //! from rendezvous hashing, so boxes agree without a message, and where their
 //! views of the live boxes differ for a while, only cache hits are lost.
 
-use crate::place;
 use crate::prefix::Hash;
+use crate::rendezvous;
 
 /// Engines that one box judges in detail.
 pub const ENGINES_PER_CELL: usize = 16;
@@ -25,13 +25,13 @@
 
 /// Cell of a prompt's outermost prefix, or of an engine, by its hash.
 pub fn of(hash: Hash, cells: u32) -> Cell {
-    let weight = |cell: &Cell| place::weight(hash, place::name_hash("cell") ^ u64::from(*cell));
+    let weight = |cell: &Cell| rendezvous::weight(hash, rendezvous::name_hash("cell") ^ u64::from(*cell));
     (0..cells).max_by_key(weight).unwrap_or(0)
 }
 
 /// How much a box is preferred for a cell; of the boxes that serve in the
 /// hall, the most preferred one decides.
 pub fn preference(service: &str, cell: Cell, name: &str) -> u64 {
-    let key = place::name_hash(service) ^ u64::from(cell).rotate_left(32);
-    place::weight(key, place::name_hash(name))
+    let key = rendezvous::name_hash(service) ^ u64::from(cell).rotate_left(32);
+    rendezvous::weight(key, rendezvous::name_hash(name))
 }
--- a/crates/jb-policy/src/choose.rs
+++ b/crates/jb-policy/src/choose.rs
@@ -7,8 +7,8 @@
 
 use std::time::Duration;
 
-use crate::place;
 use crate::prefix_cache::Segment;
+use crate::rendezvous;
 
 /// Weights of the choice. Times in milliseconds.
 #[derive(Clone, Copy, Debug)]
@@ -186,7 +186,7 @@
         return all.collect();
     };
     let names = candidates.iter().enumerate().map(|(at, c)| (at, c.name));
-    let mut listed = place::top(family, names, ENGINES_PER_GROUP);
+    let mut listed = rendezvous::top(family, names, ENGINES_PER_GROUP);
     let most = demand.shared() / 2;
     listed.extend(all.filter(|at| candidates[*at].found > most));
     listed
@@ -194,7 +194,7 @@
 
 /// Position of the candidate that all boxes expect to keep a family.
 fn home(candidates: &[Candidate], family: u64) -> Option<usize> {
-    let weights = candidates.iter().map(|c| place::weight(family, c.name));
+    let weights = candidates.iter().map(|c| rendezvous::weight(family, c.name));
     weights
         .enumerate()
         .max_by_key(|(_, weight)| *weight)
--- a/crates/jb-policy/src/hall.rs
+++ b/crates/jb-policy/src/hall.rs
@@ -3,8 +3,8 @@
 use jb_protocol::id;
 use jb_tree::view::Route;
 
-use crate::place;
 use crate::prefix::Hash;
+use crate::rendezvous;
 
 /// Number of points over which families are spread.
 const POINTS: u64 = 100;
@@ -25,7 +25,7 @@
 /// A family moves when the share passes its point, so a growing share never
 /// moves one back, and the whole family's requests move together.
 pub fn point(route: &str, family: Hash) -> u32 {
-    let weight = place::weight(family, place::name_hash(route));
+    let weight = rendezvous::weight(family, rendezvous::name_hash(route));
     u32::try_from(weight % POINTS).unwrap_or(0)
 }
 
--- a/crates/jb-policy/src/leader.rs
+++ b/crates/jb-policy/src/leader.rs
@@ -16,7 +16,7 @@
 use jb_protocol::platform::Lease;
 
 use crate::Moment;
-use crate::place;
+use crate::rendezvous;
 
 /// Time for which the lease is asked.
 pub const LEASE: Duration = Duration::from_secs(6);
@@ -33,7 +33,7 @@
 /// How much a box is preferred as leader; only the most preferred live box
 /// asks for the lease, so the platform gets one call for a hall.
 pub fn preference(hall: &str, name: &str) -> u64 {
-    place::weight(place::name_hash(&lease(hall)), place::name_hash(name))
+    rendezvous::weight(rendezvous::name_hash(&lease(hall)), rendezvous::name_hash(name))
 }
 
 /// What an engine is to run.
--- a/crates/jb-policy/src/place.rs
+++ b/crates/jb-policy/src/rendezvous.rs
@@ -9,7 +9,7 @@
 }
 
 /// Lower half of a name's hash, under which boxes speak of what it names.
-pub fn short(hash: u64) -> u32 {
+pub fn short_hash(hash: u64) -> u32 {
     hash as u32
 }
 
--- a/crates/jb-policy/src/route/pool/weigh.rs
+++ b/crates/jb-policy/src/route/pool/weigh.rs
@@ -9,8 +9,8 @@
 use crate::Moment;
 use crate::cell;
 use crate::knowledge::{Holder, Known};
-use crate::place;
 use crate::prefix::Chain;
+use crate::rendezvous;
 use crate::route::Ask;
 
 /// Upstreams weighed beside those of the cell.
@@ -85,7 +85,7 @@
             return None;
         }
         let members = indexes.iter().map(|index| (*index, self.upstreams[*index].hash));
-        place::top(chain.root.hash, members, 1).first().copied()
+        rendezvous::top(chain.root.hash, members, 1).first().copied()
     }
 
     /// The engines of the prompt's cell, those known to hold a prefix of it,
@@ -101,7 +101,7 @@
             .iter()
             .enumerate()
             .map(|(index, u)| (index, u.hash));
-        out.extend(place::top(ask.chain.root.hash, members, SPARE));
+        out.extend(rendezvous::top(ask.chain.root.hash, members, SPARE));
         out.extend(known.iter().map(|k| k.engine as usize));
         out.sort_unstable();
         out.dedup();
@@ -167,6 +167,6 @@
 
     /// Smaller for upstreams that placement prefers for the family.
     fn rank(&self, weighed: &Weighed, ask: &Ask) -> u64 {
-        u64::MAX - place::weight(ask.chain.family.hash, self.upstreams[weighed.index].hash)
+        u64::MAX - rendezvous::weight(ask.chain.family.hash, self.upstreams[weighed.index].hash)
     }
 }
--- a/crates/jb-policy/src/upstream.rs
+++ b/crates/jb-policy/src/upstream.rs
@@ -12,9 +12,9 @@
 use crate::health::Health;
 use crate::knowledge::{Epoch, Fill, Holder, Index};
 use crate::load::Backlog;
-use crate::place;
 use crate::pressure::Pressure;
 use crate::rate_limit::{Rate, Share};
+use crate::rendezvous;
 use crate::signal::Signals;
 
 /// Time for which an upstream that denied a request is left alone.
@@ -87,7 +87,7 @@
 impl Upstream {
     /// An upstream of which nothing is known yet; it may get work at once.
     pub fn new(id: id::Upstream) -> Self {
-        let hash = place::name_hash(&id);
+        let hash = rendezvous::name_hash(&id);
         Self {
             id,
             hash,
--- a/crates/jb-policy/tests/crowd.rs
+++ b/crates/jb-policy/tests/crowd.rs
@@ -12,8 +12,8 @@
 
 use jb_policy::account::{self, Account, Load};
 use jb_policy::choose::{Candidate, Demand, Tuning, best};
-use jb_policy::place;
 use jb_policy::prefix_cache::Segment;
+use jb_policy::rendezvous;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -50,8 +50,8 @@
 
 /// The engine for a prompt by what is known of loads.
 fn choose(family: u64, loads: &[Load]) -> usize {
-    let names = (0..ENGINES).map(|at| (at, place::name_hash(&format!("engine-{at}"))));
-    let first = place::top(family, names, ASKED);
+    let names = (0..ENGINES).map(|at| (at, rendezvous::name_hash(&format!("engine-{at}"))));
+    let first = rendezvous::top(family, names, ASKED);
     let ahead = account::ahead(TOKENS_PER_MS, TARGET);
     if loads[first[0]].has_room(SLOTS, ahead) {
         return first[0];
@@ -63,7 +63,7 @@
         bytes: 830,
     };
     let candidate = |at: &usize| Candidate {
-        name: place::name_hash(&format!("engine-{at}")),
+        name: rendezvous::name_hash(&format!("engine-{at}")),
         own_hall: true,
         running: loads[*at].running,
         slots: SLOTS,
--- a/crates/jb-policy/tests/spread.rs
+++ b/crates/jb-policy/tests/spread.rs
@@ -8,7 +8,7 @@
 use jb_policy::hall::{self, Summary};
 use jb_policy::limit::Limits;
 use jb_policy::member::{Change, Member, Members};
-use jb_policy::place;
+use jb_policy::rendezvous;
 use jb_protocol::error::Kind;
 use jb_tree::document;
 use jb_tree::view::{Customer, Route, View};
@@ -34,7 +34,7 @@
 #[test]
 fn a_growing_share_never_moves_a_family_back() {
     for family in 0..2000_u64 {
-        let family = place::name_hash(&family.to_string());
+        let family = rendezvous::name_hash(&family.to_string());
         let moved = |share| hall::wanted(&route(share), family) == Some("b");
         let gates = [0, 10, 25, 50, 100].map(moved);
         assert!(gates.is_sorted(), "{gates:?}");
--- a/crates/jb-relay/src/cache_store.rs
+++ b/crates/jb-relay/src/cache_store.rs
@@ -4,8 +4,8 @@
 
 use std::net::SocketAddr;
 
-use jb_policy::place;
 use jb_policy::prefix_cache::{PrefixCache, Segment};
+use jb_policy::rendezvous;
 
 use crate::rules::CacheStoreConfig;
 
@@ -26,7 +26,7 @@
 /// Returns a segment as stores identify it under a version of the weights.
 fn under(segment: Segment, version: u64) -> Segment {
     Segment {
-        id: place::weight(segment.id, version),
+        id: rendezvous::weight(segment.id, version),
         tokens: segment.tokens,
     }
 }
@@ -65,7 +65,7 @@
             if !self.0.iter().any(|store| store.address == config.address) {
                 let mut cache = PrefixCache::default();
                 cache.set_capacity(config.tokens);
-                let name = place::name_hash(&config.address.to_string());
+                let name = rendezvous::name_hash(&config.address.to_string());
                 self.0.push(CacheStore {
                     address: config.address,
                     name,
@@ -79,7 +79,7 @@
     pub fn of(&mut self, family: u64) -> Option<&mut CacheStore> {
         self.0
             .iter_mut()
-            .max_by_key(|store| place::weight(family, store.name))
+            .max_by_key(|store| rendezvous::weight(family, store.name))
     }
 
     /// Returns the store with a name.
--- a/crates/jb-relay/src/peers/account.rs
+++ b/crates/jb-relay/src/peers/account.rs
@@ -13,8 +13,8 @@
 use jb_policy::Moment;
 use jb_policy::account::{Load, Place};
 use jb_policy::health::Change;
-use jb_policy::place;
 use jb_policy::prefix_cache::Segment;
+use jb_policy::rendezvous;
 use jb_protocol::{emit, event};
 use tokio::net::UdpSocket;
 
@@ -53,7 +53,7 @@
 
     /// Id for a new place.
     fn draw(&self, own: &str) -> Place {
-        place::weight(self.inquiries.draw_nonce(), place::name_hash(own))
+        rendezvous::weight(self.inquiries.draw_nonce(), rendezvous::name_hash(own))
     }
 }
 
@@ -195,7 +195,7 @@
 fn owner(core: &Core, engine: &Instance) -> Option<AccountOwner> {
     let upstreams = core.upstreams.borrow();
     let upstream = upstreams.instance(engine)?;
-    let name = place::short(upstream.name);
+    let name = rendezvous::short_hash(upstream.name);
     let book = core.book.borrow();
     let owner = book.owner(upstream.name, &upstream.entry.hall, core.now());
     let owner = owner.filter(|(id, _)| *id != core.settings.id);
@@ -316,7 +316,7 @@
 /// Number of the prompt's deepest shared part under the engine's weights.
 fn family(upstream: &Upstream, shared: &[Segment]) -> Option<u64> {
     let version = upstream.entry.models.first()?.version;
-    Some(place::weight(shared.last()?.id, version))
+    Some(rendezvous::weight(shared.last()?.id, version))
 }
 
 /// Drops places that were never given back.
--- a/crates/jb-relay/src/peers/book.rs
+++ b/crates/jb-relay/src/peers/book.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use jb_policy::Moment;
-use jb_policy::place;
+use jb_policy::rendezvous;
 use jb_policy::tree::{self, Level};
 use jb_protocol::id;
 
@@ -40,7 +40,7 @@
 type Rank = (Option<u32>, u64);
 
 fn rank(duty: u64, peer: &Peer) -> Rank {
-    (peer.link.checked_ilog2(), place::weight(duty, peer.name))
+    (peer.link.checked_ilog2(), rendezvous::weight(duty, peer.name))
 }
 
 /// All boxes that have given their address.
@@ -65,7 +65,7 @@
     pub fn put(&mut self, peers: BTreeMap<id::Box, Peer>) {
         self.silent.retain(|id, _| peers.contains_key(id));
         self.addresses = peers.values().map(|peer| peer.address).collect();
-        let by_short_name = |peer: &Peer| (place::short(peer.name), peer.address);
+        let by_short_name = |peer: &Peer| (rendezvous::short_hash(peer.name), peer.address);
         self.by_short_name = peers.values().map(by_short_name).collect();
         self.hosts = self.addresses.iter().map(SocketAddr::ip).collect();
         self.halls = order(&peers);
@@ -151,13 +151,13 @@
 
     /// The box that keeps the account of an engine, with its address.
     pub fn owner(&self, engine: u64, hall: &str, now: Moment) -> Option<(id::Box, SocketAddr)> {
-        let rank = |peer: &Peer| (peer.hall == hall, place::weight(engine, peer.name));
+        let rank = |peer: &Peer| (peer.hall == hall, rendezvous::weight(engine, peer.name));
         self.first(now, |_, peer| Some(rank(peer)))
     }
 
     /// The box of all data halls that owns what belongs to the whole fleet, such as a customer's limit.
     pub fn fleet_owner(&self, key: u64, now: Moment) -> Option<(id::Box, SocketAddr)> {
-        self.first(now, |_, peer| Some(place::weight(key, peer.name)))
+        self.first(now, |_, peer| Some(rendezvous::weight(key, peer.name)))
     }
 
     /// The box of a data hall that keeps it where that one gives no answer.
@@ -170,7 +170,7 @@
     ) -> Option<(id::Box, SocketAddr)> {
         self.first(now, |id, peer| {
             let fits = peer.hall == hall && id != silent;
-            fits.then(|| place::weight(customer, peer.name))
+            fits.then(|| rendezvous::weight(customer, peer.name))
         })
     }
 
@@ -235,7 +235,7 @@
 
     /// Boxes that are preferred to one for a duty of the whole fleet.
     pub fn before(&self, own: &str, duty: &str, now: Moment) -> usize {
-        let duty = place::name_hash(duty);
+        let duty = rendezvous::name_hash(duty);
         let Some(mine) = self.peers.get(own).map(|peer| rank(duty, peer)) else {
             return self.peers.len();
         };
@@ -257,7 +257,7 @@
 fn order(peers: &BTreeMap<id::Box, Peer>) -> BTreeMap<id::Hall, Vec<id::Box>> {
     let mut halls: BTreeMap<&id::Hall, Vec<(Rank, &id::Box)>> = BTreeMap::new();
     for (id, peer) in peers {
-        let rank = rank(place::name_hash(&peer.hall), peer);
+        let rank = rank(rendezvous::name_hash(&peer.hall), peer);
         halls.entry(&peer.hall).or_default().push((rank, id));
     }
     let in_order = |mut boxes: Vec<(Rank, &id::Box)>| {
--- a/crates/jb-relay/src/peers/broadcast.rs
+++ b/crates/jb-relay/src/peers/broadcast.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use jb_policy::place;
+use jb_policy::rendezvous;
 use jb_policy::tree;
 use jb_protocol::id;
 use tokio::net::UdpSocket;
@@ -122,7 +122,9 @@
     rest.extend(heads.split_off(tree::groups(heads.len() + rest.len()).min(heads.len())));
     (
         heads.iter().map(|(_, peer)| peer.address).collect(),
-        rest.iter().map(|(_, peer)| place::short(peer.name)).collect(),
+        rest.iter()
+            .map(|(_, peer)| rendezvous::short_hash(peer.name))
+            .collect(),
     )
 }
 
--- a/crates/jb-relay/src/peers/notice.rs
+++ b/crates/jb-relay/src/peers/notice.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use jb_policy::place;
+use jb_policy::rendezvous;
 use jb_protocol::{emit, event};
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
@@ -56,7 +56,7 @@
     let mut notices = core.notices.borrow_mut();
     notices
         .sent
-        .push((place::short(upstream.name), saturating_cast(tokens)));
+        .push((rendezvous::short_hash(upstream.name), saturating_cast(tokens)));
     notices.wake.notify_one();
 }
 
@@ -90,7 +90,7 @@
     core.notices
         .borrow_mut()
         .replaced
-        .push(place::short(upstream.name));
+        .push(rendezvous::short_hash(upstream.name));
 }
 
 /// Notes that an upstream has signalled that it drains, for the other boxes: while the store is down each would
@@ -99,12 +99,15 @@
     core.notices
         .borrow_mut()
         .draining
-        .push(place::short(upstream.name));
+        .push(rendezvous::short_hash(upstream.name));
 }
 
 /// Notes that an upstream has become limited or unlimited, to announce it to the other boxes.
 pub fn note_limit(core: &Core, upstream: &Upstream) {
-    core.notices.borrow_mut().limits.push(place::short(upstream.name));
+    core.notices
+        .borrow_mut()
+        .limits
+        .push(rendezvous::short_hash(upstream.name));
 }
 
 /// Broadcasts the signals of upstreams.
--- a/crates/jb-relay/src/peers/quarantine_record.rs
+++ b/crates/jb-relay/src/peers/quarantine_record.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use jb_policy::place;
 use jb_policy::poison::{Content, RETENTION, Verdict};
+use jb_policy::rendezvous;
 use jb_protocol::{emit, event};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
@@ -52,7 +52,7 @@
 
 /// Whether this box is the one of the fleet that owns a record.
 fn owns(core: &Core, content: Content) -> bool {
-    let key = place::name_hash(&key(content));
+    let key = rendezvous::name_hash(&key(content));
     let owner = core.book.borrow().fleet_owner(key, core.now());
     owner.is_none_or(|(id, _)| id == core.settings.id)
 }
--- a/crates/jb-relay/src/peers/rate_limit.rs
+++ b/crates/jb-relay/src/peers/rate_limit.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 
 use jb_policy::Moment;
-use jb_policy::place;
 use jb_policy::quota::Account as Bucket;
 use jb_policy::rate_limit;
+use jb_policy::rendezvous;
 use jb_protocol::{emit, event};
 use tokio::net::UdpSocket;
 
@@ -67,7 +67,7 @@
     };
     let mut query = Acquire {
         nonce: core.rate_limits.inquiries.draw_nonce(),
-        instance: place::short(name),
+        instance: rendezvous::short_hash(name),
         observation: to_message(observation, core.now()),
         is_fallback: false,
     };
@@ -171,7 +171,7 @@
     }
     let bucket = buckets.entry(instance).or_insert_with(|| {
         let phase = match scope {
-            Scope::Own => place::fraction(place::name_hash(&core.settings.id)),
+            Scope::Own => rendezvous::fraction(rendezvous::name_hash(&core.settings.id)),
             Scope::Fleet | Scope::Hall => 0.0,
         };
         rate_limit::bucket(&terms, phase, now)
@@ -183,7 +183,10 @@
 fn drop_unknown(core: &Core, buckets: &mut HashMap<u32, Bucket>) {
     if buckets.len() > MAX_BUCKETS {
         let upstreams = core.upstreams.borrow();
-        let known: HashSet<u32> = upstreams.iter().map(|(_, u)| place::short(u.name)).collect();
+        let known: HashSet<u32> = upstreams
+            .iter()
+            .map(|(_, u)| rendezvous::short_hash(u.name))
+            .collect();
         buckets.retain(|instance, _| known.contains(instance));
     }
 }
@@ -207,7 +210,7 @@
     let now = core.now();
     let upstreams = core.upstreams.borrow();
     let limits = upstreams.iter().filter_map(|(_, upstream)| {
-        let name = place::short(upstream.name);
+        let name = rendezvous::short_hash(upstream.name);
         let observation = upstream.limit.observation()?;
         instances
             .contains(&name)
--- a/crates/jb-relay/src/peers/register.rs
+++ b/crates/jb-relay/src/peers/register.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use jb_policy::place;
+use jb_policy::rendezvous;
 use jb_protocol::{emit, event, id};
 use tokio::time::sleep;
 
@@ -100,7 +100,7 @@
     Some(Peer {
         address: address.parse().ok()?,
         hall: hall.to_owned(),
-        name: place::name_hash(id),
+        name: rendezvous::name_hash(id),
         link: fields.next().and_then(|link| link.parse().ok()).unwrap_or(0),
     })
 }
--- a/crates/jb-relay/src/peers/status.rs
+++ b/crates/jb-relay/src/peers/status.rs
@@ -11,8 +11,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use jb_policy::place;
 use jb_policy::prefix_cache::Segment;
+use jb_policy::rendezvous;
 use jb_protocol::{emit, event};
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
@@ -164,7 +164,7 @@
 fn own_loads(core: &Core) -> Vec<UpstreamLoad> {
     let upstreams = core.upstreams.borrow();
     let load = |u: &Upstream| UpstreamLoad {
-        upstream: place::short(u.name),
+        upstream: rendezvous::short_hash(u.name),
         running: u.running,
         fixed: u.fixed,
         waiting: u.waiting,
@@ -233,7 +233,7 @@
         return;
     }
     let mut upstreams = core.upstreams.borrow_mut();
-    let upstream = upstreams.by_short_name_mut(place::short(status.place));
+    let upstream = upstreams.by_short_name_mut(rendezvous::short_hash(status.place));
     if let Some(upstream) = upstream.filter(|upstream| upstream.name == status.place) {
         upstream.cache.read(shared, own);
     }
--- a/crates/jb-relay/src/peers/weights.rs
+++ b/crates/jb-relay/src/peers/weights.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use jb_policy::place;
+use jb_policy::rendezvous;
 use tokio::net::UdpSocket;
 use tokio::task::spawn_local;
 use tokio::time::sleep;
@@ -32,7 +32,7 @@
     version: Option<u64>,
 ) {
     let loaded = LoadedWeights {
-        upstream: place::short(upstream.name()),
+        upstream: rendezvous::short_hash(upstream.name()),
         model: model.to_owned(),
         version: version.unwrap_or(0),
     };
--- a/crates/jb-relay/src/quarantine.rs
+++ b/crates/jb-relay/src/quarantine.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 
 use jb_policy::Moment;
-use jb_policy::place;
 use jb_policy::poison::{Change, Content, Engine, Evidence, Ledger, Row, Verdict};
+use jb_policy::rendezvous;
 use jb_protocol::{emit, event};
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
@@ -82,7 +82,7 @@
 
 /// Name under which boxes speak of a life.
 pub fn engine(instance: &Instance) -> Engine {
-    place::short(instance.name())
+    rendezvous::short_hash(instance.name())
 }
 
 /// Notes that an engine has ended while it ran a request; `apart`: as the only suspect there.
--- a/crates/jb-relay/src/rules.rs
+++ b/crates/jb-relay/src/rules.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use jb_policy::place;
 use jb_policy::quota::Limit;
+use jb_policy::rendezvous;
 use jb_protocol::id;
 
 /// What may be done again with a request.
@@ -153,7 +153,7 @@
 
 /// Lower half of the hash of a customer's name, under which boxes speak of it.
 pub fn short_name(customer: &str) -> u32 {
-    place::short(place::name_hash(customer))
+    rendezvous::short_hash(rendezvous::name_hash(customer))
 }
 
 /// What callers may send, and how slowly.
--- a/crates/jb-relay/src/salt.rs
+++ b/crates/jb-relay/src/salt.rs
@@ -3,8 +3,8 @@
 //! The version in the text keeps apart what was read under other weights, also where parts are
 //! brought from elsewhere.
 
-use jb_policy::place;
 use jb_policy::prefix_cache::SegmentId;
+use jb_policy::rendezvous;
 use jb_policy::weights::Version;
 
 /// Between the customer's part of the text and the version.
@@ -23,6 +23,6 @@
 
 /// Number of a part by its id, apart for customers that share nothing.
 pub fn part(id: &str, salt: &str) -> SegmentId {
-    let number = u64::from_str_radix(id, 16).unwrap_or_else(|_| place::name_hash(id));
-    place::weight(number, place::name_hash(salt))
+    let number = u64::from_str_radix(id, 16).unwrap_or_else(|_| rendezvous::name_hash(id));
+    rendezvous::weight(number, rendezvous::name_hash(salt))
 }
--- a/crates/jb-relay/src/ticket.rs
+++ b/crates/jb-relay/src/ticket.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use jb_policy::Moment;
-use jb_policy::place;
 use jb_policy::prefix_cache::Segment;
+use jb_policy::rendezvous;
 use jb_protocol::id;
 
 use crate::core::Core;
@@ -131,7 +131,7 @@
     }
 
     let service = route
-        .service(place::name_hash(id))
+        .service(rendezvous::name_hash(id))
         .cloned()
         .ok_or(Refusal::NoService)?;
     let salt = match &customer {
--- a/crates/jb-relay/src/upstream/instance.rs
+++ b/crates/jb-relay/src/upstream/instance.rs
@@ -10,7 +10,7 @@
 
 use std::fmt;
 
-use jb_policy::place;
+use jb_policy::rendezvous;
 
 use crate::port::StartTime;
 
@@ -29,9 +29,9 @@
 impl Instance {
     /// Returns the hash by which boxes name it, and which ranks upstreams for the choice.
     pub fn name(&self) -> u64 {
-        let id = place::name_hash(&self.id);
+        let id = rendezvous::name_hash(&self.id);
         self.started_at
-            .map_or(id, |started_at| place::weight(id, started_at))
+            .map_or(id, |started_at| rendezvous::weight(id, started_at))
     }
 
     /// Returns whether a start time belongs to this instance; true where either is unknown.
--- a/crates/jb-relay/src/upstream/pick.rs
+++ b/crates/jb-relay/src/upstream/pick.rs
@@ -2,7 +2,7 @@
 
 use jb_policy::Moment;
 use jb_policy::choose::Candidate;
-use jb_policy::place;
+use jb_policy::rendezvous;
 use jb_policy::weights::Overdue;
 
 use super::{Instance, Registry, Source, Upstream, Wanted};
@@ -18,7 +18,7 @@
 fn first<'a>(family: u64, all: impl Iterator<Item = &'a Upstream>, count: usize) -> Vec<Instance> {
     let (instances, names): (Vec<&Instance>, Vec<u64>) =
         all.map(|upstream| (&upstream.instance, upstream.name)).unzip();
-    let first = place::top(family, names.into_iter().enumerate(), count);
+    let first = rendezvous::top(family, names.into_iter().enumerate(), count);
     first.into_iter().map(|at| instances[at].clone()).collect()
 }
 
--- a/crates/jb-relay/src/upstream/registry.rs
+++ b/crates/jb-relay/src/upstream/registry.rs
@@ -5,8 +5,8 @@
 use jb_policy::Moment;
 use jb_policy::backoff::Backoff;
 use jb_policy::health::Change;
-use jb_policy::place;
 use jb_policy::rate_limit::Limit;
+use jb_policy::rendezvous;
 use jb_policy::signal::Signals;
 
 use super::registration::{Record, Standing};
@@ -159,8 +159,8 @@
         };
         let mut upstream = Upstream::new(instance, entry);
         // Without start times, an id that is back may have its address back as well.
-        let is_replaced =
-            upstream.instance.started_at.is_some() && self.replaced.contains(&place::short(upstream.name));
+        let is_replaced = upstream.instance.started_at.is_some()
+            && self.replaced.contains(&rendezvous::short_hash(upstream.name));
         upstream.refused |= is_replaced;
         let known = self.constraints.iter().rev();
         if let Some(known) = known.clone().find(|known| known.instance == upstream.instance) {
--- a/crates/jb-relay/src/upstream/table.rs
+++ b/crates/jb-relay/src/upstream/table.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-use jb_policy::place;
+use jb_policy::rendezvous;
 use jb_protocol::id;
 
 use super::{Id, Upstream};
@@ -33,7 +33,8 @@
             self.upstreams.len() - 1
         });
         self.by_id.insert(upstream.instance.id.clone(), slot);
-        self.by_short_name.insert(place::short(upstream.name), slot);
+        self.by_short_name
+            .insert(rendezvous::short_hash(upstream.name), slot);
         let service = upstream.entry.service.clone();
         self.by_service.entry(service).or_default().push(slot);
         self.upstreams[slot] = Some(upstream);
@@ -43,7 +44,7 @@
     pub fn remove(&mut self, id: &str) -> Option<Upstream> {
         let slot = self.by_id.remove(id)?;
         let upstream = self.upstreams[slot].take()?;
-        let name = place::short(upstream.name);
+        let name = rendezvous::short_hash(upstream.name);
         if self.by_short_name.get(&name) == Some(&slot) {
             self.by_short_name.remove(&name);
         }
--- a/crates/jb-relay/tests/book.rs
+++ b/crates/jb-relay/tests/book.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use jb_policy::{Moment, place};
+use jb_policy::{Moment, rendezvous};
 use jb_relay::peers::{Book, Peer};
 
 const HALL: &str = "hall-a";
@@ -20,7 +20,7 @@
     let peer = Peer {
         address: SocketAddr::from(([10, 0, 0, 1], number)),
         hall: HALL.to_owned(),
-        name: place::name_hash(&id),
+        name: rendezvous::name_hash(&id),
         link: if number % 10 < WIDE_IN_TEN { 200 } else { 20 },
     };
     (id, peer)
--- a/crates/jb-relay/tests/instances.rs
+++ b/crates/jb-relay/tests/instances.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
-use jb_policy::place;
 use jb_policy::rate_limit::Announcement;
+use jb_policy::rendezvous;
 use jb_policy::signal::Signals;
 use jb_relay::port::{Entry, Registration, Revision, StartTime};
 use jb_relay::upstream::{Instance, Registry, Seen};
@@ -209,7 +209,10 @@
     for id in &ids {
         registry.apply_registration(id, entry(Some(FIRST), false), at(1));
     }
-    let names: Vec<u32> = registry.iter().map(|(_, u)| place::short(u.name)).collect();
+    let names: Vec<u32> = registry
+        .iter()
+        .map(|(_, u)| rendezvous::short_hash(u.name))
+        .collect();
     let received = names.iter().map(|name| registry.note_draining(&[*name]).len());
     assert_eq!(received.sum::<usize>(), 3);
     assert!(registry.note_draining(&names).is_empty());
@@ -264,7 +267,9 @@
                 registry.remove("engine");
             }
         }
-        Step::Replaced(started_at) => registry.note_replaced(&[place::short(instance(*started_at).name())]),
+        Step::Replaced(started_at) => {
+            registry.note_replaced(&[rendezvous::short_hash(instance(*started_at).name())])
+        }
         Step::Answer(started_at) => {
             registry.observe_signals(&instance(*started_at), leaves());
         }
