--- a/crates/jb-policy/src/choose.rs
+++ b/crates/jb-policy/src/placement.rs
@@ -12,62 +12,62 @@
 
 /// Weights of the choice. Times in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Tuning {
+pub struct CostModel {
     /// Prompt tokens that an engine reads in a millisecond.
-    pub tokens_per_ms: f64,
+    pub prefill_tokens_per_ms: f64,
     /// Cost of a transfer of shared segments from another engine, and of the memory that the copy takes.
-    pub import: f64,
+    pub transfer: f64,
     /// Cost of each thousand tokens transferred.
-    pub import_per_k: f64,
+    pub transfer_per_1k: f64,
     /// Time to transfer a thousand tokens, by the bytes of a token and the link.
-    pub move_per_k: f64,
+    pub transfer_time_per_1k: f64,
     /// Cost of each thousand shared tokens that have to be read, besides the time: most of them were read
     /// elsewhere a moment ago.
-    pub again_per_k: f64,
+    pub recompute_per_1k: f64,
     /// Cost of older weights than the newest release.
-    pub behind: f64,
+    pub stale_weights: f64,
     /// Delay of the next token by one running request.
-    pub per_running: f64,
+    pub per_running_request: f64,
     /// Cost of a place that is taken at a plain service, as a share of all places.
-    pub per_place: f64,
+    pub slot_utilization: f64,
     /// Cost of sending to another data hall.
-    pub other_hall: f64,
+    pub cross_hall: f64,
     /// Cost of each kilobyte that goes to another data hall.
-    pub other_hall_per_kb: f64,
+    pub cross_hall_per_kb: f64,
     /// Cost of an engine that isn't the prefix group's own.
-    pub away: f64,
+    pub non_owner: f64,
     /// Cost of a candidate whose places are all taken.
-    pub full: f64,
+    pub saturated: f64,
 }
 
-impl Default for Tuning {
+impl Default for CostModel {
     fn default() -> Self {
         Self {
-            tokens_per_ms: 50.0,
-            import: 60.0,
-            import_per_k: 10.0,
-            move_per_k: 10.0,
-            again_per_k: 60.0,
-            behind: 20.0,
-            per_running: 5.0,
-            per_place: 60.0,
-            other_hall: 3.0,
-            other_hall_per_kb: 0.5,
-            away: 40.0,
-            full: 400.0,
+            prefill_tokens_per_ms: 50.0,
+            transfer: 60.0,
+            transfer_per_1k: 10.0,
+            transfer_time_per_1k: 10.0,
+            recompute_per_1k: 60.0,
+            stale_weights: 20.0,
+            per_running_request: 5.0,
+            slot_utilization: 60.0,
+            cross_hall: 3.0,
+            cross_hall_per_kb: 0.5,
+            non_owner: 40.0,
+            saturated: 400.0,
         }
     }
 }
 
-impl Tuning {
+impl CostModel {
     /// Returns the weights for a prompt that shares little with others: little of it is cached anywhere, so
     /// it goes by load, and to the newest weights.
-    pub fn of_little_shared(self) -> Self {
+    pub fn for_unshared_prompt(self) -> Self {
         Self {
-            away: 0.0,
-            import: 0.0,
-            again_per_k: 0.0,
-            behind: 150.0,
+            non_owner: 0.0,
+            transfer: 0.0,
+            recompute_per_1k: 0.0,
+            stale_weights: 150.0,
             ..self
         }
     }
@@ -77,7 +77,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
     /// Hash of its name, for the order that all boxes agree on.
-    pub name: u64,
+    pub name_hash: u64,
     /// Whether it is in the box's own data hall.
     pub own_hall: bool,
     /// Requests that are believed to run there.
@@ -85,15 +85,15 @@
     /// Requests that it works on at once.
     pub slots: u32,
     /// Prompt tokens that are believed to wait there.
-    pub waiting: u64,
+    pub queued_tokens: u64,
     /// Tokens of the prompt that it is believed to keep.
-    pub found: u64,
+    pub cached_tokens: u64,
     /// Tokens of the prompt that another engine of the same weights is believed to keep.
-    pub elsewhere: u64,
+    pub peer_cached_tokens: u64,
     /// Whether newer weights than it has are named.
-    pub behind: bool,
+    pub has_stale_weights: bool,
     /// Time for which it is still slow, as a factor on its work.
-    pub slowness: f64,
+    pub slowdown: f64,
 }
 
 impl Candidate {
@@ -104,12 +104,12 @@
 
     /// Tokens that another engine hands it.
     fn transferred(&self) -> u64 {
-        self.elsewhere.saturating_sub(self.found)
+        self.peer_cached_tokens.saturating_sub(self.cached_tokens)
     }
 
     /// Of so many leading tokens those that it has to read itself.
     fn unread(&self, tokens: u64) -> u64 {
-        tokens.saturating_sub(self.found + self.transferred())
+        tokens.saturating_sub(self.cached_tokens + self.transferred())
     }
 }
 
@@ -124,29 +124,29 @@
 
 impl Demand<'_> {
     /// Tokens of the whole prompt.
-    pub fn tokens(&self) -> u64 {
+    pub fn total_tokens(&self) -> u64 {
         self.prompt.iter().map(|segment| segment.tokens).sum()
     }
 
     /// Tokens of the parts that other requests share: all but the last part.
-    pub fn shared(&self) -> u64 {
-        self.tokens() - self.prompt.last().map_or(0, |segment| segment.tokens)
+    pub fn shared_tokens(&self) -> u64 {
+        self.total_tokens() - self.prompt.last().map_or(0, |segment| segment.tokens)
     }
 
     /// Number of the deepest shared part, which names the prompt's family.
-    pub fn family(&self) -> Option<u64> {
+    pub fn prefix_group(&self) -> Option<u64> {
         let shared = self.prompt.len().checked_sub(2)?;
         Some(self.prompt[shared].id)
     }
 }
 
 /// Position of the candidate with the least cost.
-pub fn best(candidates: &[Candidate], demand: &Demand<'_>, tuning: &Tuning) -> Option<usize> {
-    let home = demand.family().and_then(|family| home(candidates, family));
+pub fn best(candidates: &[Candidate], demand: &Demand<'_>, model: &CostModel) -> Option<usize> {
+    let home = demand.prefix_group().and_then(|family| home(candidates, family));
     // Among engines that keep nothing of it yet, all boxes take the same one.
     let away = |at| {
         if home.is_some() && home != Some(at) {
-            tuning.away
+            model.non_owner
         } else {
             0.0
         }
@@ -154,7 +154,7 @@
     let listed = shortlist(candidates, demand);
     let costs = listed
         .into_iter()
-        .map(|at| (at, cost(&candidates[at], demand, tuning) + away(at)));
+        .map(|at| (at, cost(&candidates[at], demand, model) + away(at)));
     costs.min_by(|a, b| a.1.total_cmp(&b.1)).map(|(at, _)| at)
 }
 
@@ -163,12 +163,12 @@
 const DRAG: f64 = 1.5;
 
 /// Time until the first token at a candidate.
-pub fn first_token(candidate: &Candidate, demand: &Demand<'_>, tuning: &Tuning) -> Duration {
+pub fn time_to_first_token(candidate: &Candidate, demand: &Demand<'_>, model: &CostModel) -> Duration {
     let transferred = candidate.transferred();
-    let unread = candidate.unread(demand.tokens());
-    let moving = tuning.move_per_k * transferred as f64 / 1000.0;
-    let reading = (candidate.waiting + unread) as f64 / tuning.tokens_per_ms;
-    let millis = (reading + moving + DRAG * f64::from(candidate.running)) * candidate.slowness;
+    let unread = candidate.unread(demand.total_tokens());
+    let moving = model.transfer_time_per_1k * transferred as f64 / 1000.0;
+    let reading = (candidate.queued_tokens + unread) as f64 / model.prefill_tokens_per_ms;
+    let millis = (reading + moving + DRAG * f64::from(candidate.running)) * candidate.slowdown;
     Duration::from_secs_f64(millis / 1000.0)
 }
 
@@ -182,48 +182,55 @@
 /// requests last, so all boxes would send to the one that was idle a moment ago.
 fn shortlist(candidates: &[Candidate], demand: &Demand<'_>) -> Vec<usize> {
     let all = 0..candidates.len();
-    let Some(family) = demand.family().filter(|_| candidates.len() > MAX_FULLY_WEIGHED) else {
+    let Some(family) = demand
+        .prefix_group()
+        .filter(|_| candidates.len() > MAX_FULLY_WEIGHED)
+    else {
         return all.collect();
     };
-    let names = candidates.iter().enumerate().map(|(at, c)| (at, c.name));
+    let names = candidates.iter().enumerate().map(|(at, c)| (at, c.name_hash));
     let mut listed = rendezvous::top(family, names, ENGINES_PER_GROUP);
-    let most = demand.shared() / 2;
-    listed.extend(all.filter(|at| candidates[*at].found > most));
+    let most = demand.shared_tokens() / 2;
+    listed.extend(all.filter(|at| candidates[*at].cached_tokens > most));
     listed
 }
 
 /// Position of the candidate that all boxes expect to keep a family.
 fn home(candidates: &[Candidate], family: u64) -> Option<usize> {
-    let weights = candidates.iter().map(|c| rendezvous::weight(family, c.name));
+    let weights = candidates.iter().map(|c| rendezvous::weight(family, c.name_hash));
     weights
         .enumerate()
         .max_by_key(|(_, weight)| *weight)
         .map(|(at, _)| at)
 }
 
-fn cost(candidate: &Candidate, demand: &Demand<'_>, tuning: &Tuning) -> f64 {
+fn cost(candidate: &Candidate, demand: &Demand<'_>, model: &CostModel) -> f64 {
     let transferred = candidate.transferred();
-    let unread = candidate.unread(demand.tokens());
+    let unread = candidate.unread(demand.total_tokens());
     let import = if transferred > 0 {
-        tuning.import + tuning.import_per_k * transferred as f64 / 1000.0
+        model.transfer + model.transfer_per_1k * transferred as f64 / 1000.0
     } else {
         0.0
     };
-    let reading = (candidate.waiting + unread) as f64 / tuning.tokens_per_ms;
-    let unread_shared = candidate.unread(demand.shared());
-    let again = tuning.again_per_k * unread_shared as f64 / 1000.0;
+    let reading = (candidate.queued_tokens + unread) as f64 / model.prefill_tokens_per_ms;
+    let unread_shared = candidate.unread(demand.shared_tokens());
+    let again = model.recompute_per_1k * unread_shared as f64 / 1000.0;
     let running = f64::from(candidate.running);
     let drag = if demand.prompt.is_empty() {
-        tuning.per_place * running / f64::from(candidate.slots.max(1))
+        model.slot_utilization * running / f64::from(candidate.slots.max(1))
     } else {
-        tuning.per_running * running
+        model.per_running_request * running
     };
     let distance = if candidate.own_hall {
         0.0
     } else {
-        tuning.other_hall + tuning.other_hall_per_kb * demand.bytes as f64 / 1024.0
+        model.cross_hall + model.cross_hall_per_kb * demand.bytes as f64 / 1024.0
     };
-    let full = if candidate.is_full() { tuning.full } else { 0.0 };
-    let behind = if candidate.behind { tuning.behind } else { 0.0 };
-    (reading + drag + import) * candidate.slowness + again + distance + full + behind
+    let full = if candidate.is_full() { model.saturated } else { 0.0 };
+    let behind = if candidate.has_stale_weights {
+        model.stale_weights
+    } else {
+        0.0
+    };
+    (reading + drag + import) * candidate.slowdown + again + distance + full + behind
 }
--- a/crates/jb-policy/tests/crowd.rs
+++ b/crates/jb-policy/tests/crowd.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use jb_policy::account::{self, Account, Load};
-use jb_policy::choose::{Candidate, Demand, Tuning, best};
+use jb_policy::placement::{Candidate, CostModel, Demand, best};
 use jb_policy::prefix_cache::Segment;
 use jb_policy::rendezvous;
 use rand::{Rng, SeedableRng};
@@ -63,18 +63,18 @@
         bytes: 830,
     };
     let candidate = |at: &usize| Candidate {
-        name: rendezvous::name_hash(&format!("engine-{at}")),
+        name_hash: rendezvous::name_hash(&format!("engine-{at}")),
         own_hall: true,
         running: loads[*at].running,
         slots: SLOTS,
-        waiting: loads[*at].waiting,
-        found: SHARED,
-        elsewhere: SHARED,
-        behind: false,
-        slowness: 1.0,
+        queued_tokens: loads[*at].waiting,
+        cached_tokens: SHARED,
+        peer_cached_tokens: SHARED,
+        has_stale_weights: false,
+        slowdown: 1.0,
     };
     let candidates: Vec<Candidate> = first.iter().map(candidate).collect();
-    first[best(&candidates, &demand, &Tuning::default()).unwrap_or(0)]
+    first[best(&candidates, &demand, &CostModel::default()).unwrap_or(0)]
 }
 
 /// Prompts of a thousand whose first token comes late, when loads are known so late.
--- a/crates/jb-policy/tests/choose.rs
+++ b/crates/jb-policy/tests/placement.rs
@@ -4,22 +4,22 @@
 
 use std::time::Duration;
 
-use jb_policy::choose::{Candidate, Demand, Tuning, best};
+use jb_policy::placement::{Candidate, CostModel, Demand, best};
 use jb_policy::prefix_cache::{PrefixCache, Segment};
 use jb_policy::share::{Bound, Budget};
 use jb_policy::weights::{History, Overdue};
 
 fn candidate(name: u64) -> Candidate {
     Candidate {
-        name,
+        name_hash: name,
         own_hall: true,
         running: 0,
         slots: 8,
-        waiting: 0,
-        found: 0,
-        elsewhere: 0,
-        behind: false,
-        slowness: 1.0,
+        queued_tokens: 0,
+        cached_tokens: 0,
+        peer_cached_tokens: 0,
+        has_stale_weights: false,
+        slowdown: 1.0,
     }
 }
 
@@ -38,10 +38,10 @@
         bytes: 0,
     };
     let mut engines: Vec<_> = (1..=9).map(candidate).collect();
-    let chosen = best(&engines, &demand, &Tuning::default()).map(|at| engines[at].name);
+    let chosen = best(&engines, &demand, &CostModel::default()).map(|at| engines[at].name_hash);
     engines.reverse();
     assert_eq!(
-        best(&engines, &demand, &Tuning::default()).map(|at| engines[at].name),
+        best(&engines, &demand, &CostModel::default()).map(|at| engines[at].name_hash),
         chosen
     );
 }
@@ -54,11 +54,11 @@
         bytes: 0,
     };
     let mut engines = [candidate(1), candidate(2)];
-    engines[0].found = 6300;
-    engines[1].elsewhere = 6300;
-    assert_eq!(best(&engines, &demand, &Tuning::default()), Some(0));
-    engines[0].waiting = 20_000;
-    assert_eq!(best(&engines, &demand, &Tuning::default()), Some(1));
+    engines[0].cached_tokens = 6300;
+    engines[1].peer_cached_tokens = 6300;
+    assert_eq!(best(&engines, &demand, &CostModel::default()), Some(0));
+    engines[0].queued_tokens = 20_000;
+    assert_eq!(best(&engines, &demand, &CostModel::default()), Some(1));
 }
 
 #[test]
@@ -66,16 +66,16 @@
     let demand = Demand::default();
     let worse: [fn(&mut Candidate); 4] = [
         |c| c.running = 8,
-        |c| c.behind = true,
+        |c| c.has_stale_weights = true,
         |c| c.own_hall = false,
-        |c| (c.running, c.slowness) = (4, 2.0),
+        |c| (c.running, c.slowdown) = (4, 2.0),
     ];
     for change in worse {
         let mut pair = [candidate(1), candidate(2)];
         change(&mut pair[0]);
-        assert_eq!(best(&pair, &demand, &Tuning::default()), Some(1), "{pair:?}");
+        assert_eq!(best(&pair, &demand, &CostModel::default()), Some(1), "{pair:?}");
     }
-    assert_eq!(best(&[], &demand, &Tuning::default()), None);
+    assert_eq!(best(&[], &demand, &CostModel::default()), None);
 }
 
 /// Engines of its family were a third slower than others and filled up first, and answers on
@@ -87,20 +87,20 @@
         prompt: &prompt,
         bytes: 0,
     };
-    let tuning = Tuning::default().of_little_shared();
+    let tuning = CostModel::default().for_unshared_prompt();
     let mut engines = [candidate(1), candidate(2)];
-    engines[0].found = 198;
+    engines[0].cached_tokens = 198;
     for engine in &mut engines {
-        engine.elsewhere = 198;
+        engine.peer_cached_tokens = 198;
         engine.running = 20;
         engine.slots = 32;
     }
     engines[1].running = 15;
     assert_eq!(best(&engines, &demand, &tuning), Some(1));
-    engines[1].behind = true;
+    engines[1].has_stale_weights = true;
     assert_eq!(best(&engines, &demand, &tuning), Some(0));
     // Not at any price.
-    engines[0].waiting = 15_000;
+    engines[0].queued_tokens = 15_000;
     assert_eq!(best(&engines, &demand, &tuning), Some(1));
 }
 
@@ -210,9 +210,9 @@
     let mut engines: Vec<_> = (1..=100).map(candidate).collect();
     let mut taken = Vec::new();
     for _ in 0..3 {
-        let at = best(&engines, &demand, &Tuning::default()).expect("an engine");
+        let at = best(&engines, &demand, &CostModel::default()).expect("an engine");
         // The load of the last choice is known; all other engines look idle.
-        engines[at].waiting += 60_000;
+        engines[at].queued_tokens += 60_000;
         taken.push(at);
     }
     assert_ne!(
@@ -230,10 +230,10 @@
         bytes: 0,
     };
     let mut engines: Vec<_> = (1..=9).map(candidate).collect();
-    engines[4].found = 6300;
+    engines[4].cached_tokens = 6300;
     // Reading what waits takes longer than reading the shared parts once more.
-    engines[4].waiting = 15_000;
-    assert_eq!(best(&engines, &demand, &Tuning::default()), Some(4));
-    engines[4].waiting = 60_000;
-    assert_ne!(best(&engines, &demand, &Tuning::default()), Some(4));
+    engines[4].queued_tokens = 15_000;
+    assert_eq!(best(&engines, &demand, &CostModel::default()), Some(4));
+    engines[4].queued_tokens = 60_000;
+    assert_ne!(best(&engines, &demand, &CostModel::default()), Some(4));
 }
--- a/crates/jb-relay/src/core.rs
+++ b/crates/jb-relay/src/core.rs
@@ -7,9 +7,9 @@
 
 use jb_clock::Clock;
 use jb_policy::Moment;
-use jb_policy::choose::Tuning;
 use jb_policy::outage::{self, Span};
 use jb_policy::pace::Pace;
+use jb_policy::placement::CostModel;
 use jb_policy::reach::Reach;
 use jb_policy::share::{Bound, Budget};
 use jb_policy::weights::History;
@@ -52,7 +52,7 @@
     /// Header names of the platform.
     pub names: Names,
     /// Weights of the choice.
-    pub tuning: Tuning,
+    pub tuning: CostModel,
     /// Store of the platform.
     pub store: Rc<dyn Store>,
     /// Control calls to engines.
@@ -154,7 +154,7 @@
         Rc::new(Self {
             settings: parts.settings,
             names: parts.names,
-            tuning: Tuning::default(),
+            tuning: CostModel::default(),
             store: parts.store,
             engines: parts.engines,
             logger: parts.logger,
--- a/crates/jb-relay/src/exchange/ask.rs
+++ b/crates/jb-relay/src/exchange/ask.rs
@@ -6,8 +6,8 @@
 use bytes::Bytes;
 use futures_util::future::join_all;
 use jb_policy::account::{self, Load, Place};
-use jb_policy::choose::{self, Candidate, Tuning};
 use jb_policy::gate::{Estimate, Verdict};
+use jb_policy::placement::{self, Candidate, CostModel};
 
 use super::place::{self, Among, Choice};
 use crate::core::Shared;
@@ -66,7 +66,7 @@
         tuning: place::tuning(core, ticket),
         place: peers::draw(core),
     };
-    let family = ask.wanted.demand.family()?;
+    let family = ask.wanted.demand.prefix_group()?;
     let ranked = core
         .upstreams
         .borrow()
@@ -90,7 +90,7 @@
     core: &'a Shared,
     wanted: Wanted<'a>,
     prompt: Prompt<'a>,
-    tuning: Tuning,
+    tuning: CostModel,
     place: Place,
 }
 
@@ -105,7 +105,7 @@
 impl Ask<'_> {
     /// Whether the prompt goes by load alone.
     fn shares_little(&self) -> bool {
-        self.wanted.demand.shared() < MIN_SHARED
+        self.wanted.demand.shared_tokens() < MIN_SHARED
     }
 
     /// Looks at engines for a prompt that shares little: those to which a connection is open, and
@@ -131,7 +131,7 @@
 
     /// Asks the family's own engine for a place, and looks at others where it has none.
     async fn at_home(&self, own: &Instance, others: &[Instance], family: u64, target: Duration) -> Looked {
-        let ahead = account::ahead(self.tuning.tokens_per_ms, target);
+        let ahead = account::ahead(self.tuning.prefill_tokens_per_ms, target);
         let room = Room::Ahead(saturating_cast(ahead));
         let held = peers::hold(self.core, own, self.place);
         let Some(view) = peers::ask_account(self.core, own, self.place, &self.prompt, room).await else {
@@ -139,7 +139,7 @@
         };
         let first = self.asked(own, view);
         if let Some(own) = first.as_ref().filter(|_| view.taken) {
-            let missing = self.wanted.demand.shared().saturating_sub(view.found);
+            let missing = self.wanted.demand.shared_tokens().saturating_sub(view.found);
             let rest = if missing >= MIN_SHARED {
                 self.look(&self.holders(family, &own.instance)).await
             } else {
@@ -156,15 +156,15 @@
     async fn compare(&self, ticket: &Ticket, mut asked: Vec<Asked>, first: bool) -> Option<Choice> {
         let most = asked.iter().map(|asked| asked.view.found).max()?;
         for asked in &mut asked {
-            asked.candidate.elsewhere = asked.candidate.elsewhere.max(most);
+            asked.candidate.peer_cached_tokens = asked.candidate.peer_cached_tokens.max(most);
         }
         let candidates: Vec<Candidate> = asked.iter().map(|asked| asked.candidate).collect();
         let tuning = if self.shares_little() {
-            self.tuning.of_little_shared()
+            self.tuning.for_unshared_prompt()
         } else {
             self.tuning
         };
-        let at = choose::best(&candidates, &self.wanted.demand, &tuning)?;
+        let at = placement::best(&candidates, &self.wanted.demand, &tuning)?;
         let mut best = asked.swap_remove(at);
         let estimate = self.estimate(&best);
         let verdict = if first {
@@ -193,7 +193,7 @@
 
     fn estimate(&self, asked: &Asked) -> Estimate {
         Estimate {
-            first: choose::first_token(&asked.candidate, &self.wanted.demand, &self.tuning),
+            first: placement::time_to_first_token(&asked.candidate, &self.wanted.demand, &self.tuning),
             queued: asked.view.load.waiting > 0,
         }
     }
@@ -251,12 +251,12 @@
         let upstream = upstreams.instance(instance)?;
         let has = self.wanted.model.and_then(|model| upstream.weights(model));
         let behind = has.is_some_and(|has| has < self.wanted.weights.newest());
-        let shared = self.wanted.demand.shared();
+        let shared = self.wanted.demand.shared_tokens();
         let candidate = Candidate {
             running: view.load.running,
-            waiting: view.load.waiting,
-            found: view.found,
-            elsewhere: if view.stored { shared } else { 0 },
+            queued_tokens: view.load.waiting,
+            cached_tokens: view.found,
+            peer_cached_tokens: if view.stored { shared } else { 0 },
             ..upstream.candidate(&self.wanted, behind)
         };
         Some(Asked {
--- a/crates/jb-relay/src/exchange/place.rs
+++ b/crates/jb-relay/src/exchange/place.rs
@@ -2,8 +2,8 @@
 
 use bytes::Bytes;
 use jb_policy::Moment;
-use jb_policy::choose::{self, Demand, Tuning};
 use jb_policy::gate::{self, Estimate, Verdict};
+use jb_policy::placement::{self, CostModel, Demand};
 use jb_policy::reach::Avoided;
 
 use super::ask::{self, Advice};
@@ -105,10 +105,10 @@
     let wanted = wanted(core, ticket, body, tried, among);
     let (ids, candidates) = core.upstreams.borrow().candidates(&wanted, core.now());
     let tuning = tuning(core, ticket);
-    let at = choose::best(&candidates, &wanted.demand, &tuning)?;
+    let at = placement::best(&candidates, &wanted.demand, &tuning)?;
     let estimate = Estimate {
-        first: choose::first_token(&candidates[at], &wanted.demand, &tuning),
-        queued: candidates[at].waiting > 0,
+        first: placement::time_to_first_token(&candidates[at], &wanted.demand, &tuning),
+        queued: candidates[at].queued_tokens > 0,
     };
     Some(Choice {
         instance: ids[at].clone(),
@@ -126,7 +126,7 @@
 }
 
 /// Weights of the choice, with what is known of the service's engines.
-pub(super) fn tuning(core: &Core, ticket: &Ticket) -> Tuning {
+pub(super) fn tuning(core: &Core, ticket: &Ticket) -> CostModel {
     let pace = core
         .paces
         .borrow()
@@ -135,9 +135,11 @@
         .unwrap_or_default();
     let service = ticket.rules.services.get(&ticket.service);
     let moves = service.and_then(|service| service.move_per_k);
-    Tuning {
-        tokens_per_ms: pace.tokens_per_ms(),
-        move_per_k: moves.map_or(core.tuning.move_per_k, |time| time.as_secs_f64() * 1000.0),
+    CostModel {
+        prefill_tokens_per_ms: pace.tokens_per_ms(),
+        transfer_time_per_1k: moves.map_or(core.tuning.transfer_time_per_1k, |time| {
+            time.as_secs_f64() * 1000.0
+        }),
         ..core.tuning
     }
 }
--- a/crates/jb-relay/src/exchange/prompt.rs
+++ b/crates/jb-relay/src/exchange/prompt.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use jb_policy::choose::Demand;
+use jb_policy::placement::Demand;
 use jb_policy::prefix_cache::Segment;
 use jb_policy::transfer::{self, Holdings, Origin};
 use jb_policy::weights::Version;
@@ -55,10 +55,10 @@
         let upstreams = core.upstreams.borrow();
         let upstream = upstreams.instance(instance);
         emit!(core.logger, info, event::REQUEST_PLACED, "request" => &ticket.id, "upstream" => %instance,
-            "tokens" => ticket.tokens(), "shared" => self.demand().shared(), "found" => found,
+            "tokens" => ticket.tokens(), "shared" => self.demand().shared_tokens(), "found" => found,
             "brought" => plan.tokens, "unread" => unread, "origin" => ?plan.origin,
             "from" => self.message.source.map(|from| from.to_string()), "to_store" => self.message.store.is_some(),
-            "family" => self.demand().family(),
+            "family" => self.demand().prefix_group(),
             "running" => upstream.map(|upstream| upstream.running + upstream.others.running),
             "waiting" => upstream.map(|upstream| upstream.waiting + upstream.others.waiting), "weights" => version);
         unread
@@ -68,10 +68,13 @@
     fn place_advised(&mut self, instance: &Instance, own: u64, advice: &Advice) -> u64 {
         let ticket = self.message.ticket;
         let core = self.core;
-        let shared = self.demand().shared();
+        let shared = self.demand().shared_tokens();
         let store = {
             let mut cache_stores = core.cache_stores.borrow_mut();
-            let store = self.demand().family().and_then(|family| cache_stores.of(family));
+            let store = self
+                .demand()
+                .prefix_group()
+                .and_then(|family| cache_stores.of(family));
             store.map(|store| store.address)
         };
         let plan = transfer::plan_advised(&Holdings {
@@ -96,7 +99,7 @@
             "tokens" => ticket.tokens(), "shared" => shared, "found" => advice.found,
             "brought" => plan.tokens, "unread" => unread, "origin" => ?plan.origin, "stored" => advice.stored,
             "from" => self.message.source.map(|from| from.to_string()), "to_store" => self.message.store.is_some(),
-            "family" => self.demand().family(), "running" => advice.load.running,
+            "family" => self.demand().prefix_group(), "running" => advice.load.running,
             "waiting" => advice.load.waiting);
         unread
     }
@@ -125,11 +128,14 @@
         let elsewhere = Holdings {
             own,
             engine,
-            shared: self.demand().shared(),
+            shared: self.demand().shared_tokens(),
             ..Holdings::default()
         };
         let mut cache_stores = self.core.cache_stores.borrow_mut();
-        let store = self.demand().family().and_then(|family| cache_stores.of(family));
+        let store = self
+            .demand()
+            .prefix_group()
+            .and_then(|family| cache_stores.of(family));
         let (Some(store), Some(version)) = (store, version) else {
             return elsewhere;
         };
@@ -144,7 +150,7 @@
     /// The family's store, to take parts from.
     fn read_from_store(&self, shared: &[Segment], version: Option<Version>) -> Option<SocketAddr> {
         let mut cache_stores = self.core.cache_stores.borrow_mut();
-        let store = cache_stores.of(self.demand().family()?)?;
+        let store = cache_stores.of(self.demand().prefix_group()?)?;
         // Parts that it has dropped count again only once it is sent them again.
         store.note_load(shared, version?);
         Some(store.address)
@@ -160,8 +166,8 @@
         held: u64,
     ) -> Option<SocketAddr> {
         let mut cache_stores = self.core.cache_stores.borrow_mut();
-        let all = self.demand().shared();
-        let store = cache_stores.of(self.demand().family()?)?;
+        let all = self.demand().shared_tokens();
+        let store = cache_stores.of(self.demand().prefix_group()?)?;
         let version = version?;
         if held >= all || own > all * OWN_OF_SHARED {
             return None;
--- a/crates/jb-relay/src/upstream/pick.rs
+++ b/crates/jb-relay/src/upstream/pick.rs
@@ -1,7 +1,7 @@
 //! Which upstreams may get a request, and who keeps parts of its prompt.
 
 use jb_policy::Moment;
-use jb_policy::choose::Candidate;
+use jb_policy::placement::Candidate;
 use jb_policy::rendezvous;
 use jb_policy::weights::Overdue;
 
@@ -147,7 +147,7 @@
             let others = holders
                 .iter()
                 .filter(|holder| *holder.instance != upstream.instance && Some(holder.weights) == has);
-            candidate.elsewhere = others.map(|holder| holder.found).max().unwrap_or(0);
+            candidate.peer_cached_tokens = others.map(|holder| holder.found).max().unwrap_or(0);
             (upstream.instance.clone(), candidate)
         };
         self.open(wanted, now).map(candidate).unzip()
--- a/crates/jb-relay/src/upstream/state.rs
+++ b/crates/jb-relay/src/upstream/state.rs
@@ -5,8 +5,8 @@
 use jb_policy::Moment;
 use jb_policy::account::Account;
 use jb_policy::backoff::Backoff;
-use jb_policy::choose::Candidate;
 use jb_policy::health::Health;
+use jb_policy::placement::Candidate;
 use jb_policy::prefix_cache::PrefixCache;
 use jb_policy::rate_limit::Limit;
 
@@ -183,15 +183,15 @@
         let hall = wanted.hall;
         let demand = &wanted.demand;
         Candidate {
-            name: self.name,
+            name_hash: self.name,
             own_hall: self.entry.hall == hall,
             running: self.running + self.others.running,
             slots: self.entry.slots,
-            waiting: self.waiting + self.others.waiting,
-            found: self.cache.found(demand.prompt),
-            elsewhere: 0,
-            behind,
-            slowness: if self.entry.cold.is_zero() { 1.0 } else { COLD },
+            queued_tokens: self.waiting + self.others.waiting,
+            cached_tokens: self.cache.found(demand.prompt),
+            peer_cached_tokens: 0,
+            has_stale_weights: behind,
+            slowdown: if self.entry.cold.is_zero() { 1.0 } else { COLD },
         }
     }
 }
--- a/crates/jb-relay/src/upstream/wanted.rs
+++ b/crates/jb-relay/src/upstream/wanted.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use jb_policy::choose::Demand;
+use jb_policy::placement::Demand;
 use jb_policy::reach::Avoided;
 use jb_policy::weights::History;
 
