--- a/crates/jb-policy/src/gate.rs
+++ b/crates/jb-policy/src/admission.rs
@@ -19,44 +19,47 @@
     /// Time since it came.
     pub waited: Duration,
     /// Time in which its first token is wanted, or its caller gives up.
-    pub target: Duration,
+    pub ttft_target: Duration,
     /// The least time wanted by a request that is as urgent or more, of the same service.
-    pub urgent: Duration,
+    pub urgent_ttft_target: Duration,
 }
 
 /// What the best engine would do with it.
 #[derive(Clone, Copy, Debug)]
 pub struct Estimate {
     /// Time until its first token.
-    pub first: Duration,
+    pub ttft: Duration,
     /// Whether other prompts wait there.
-    pub queued: bool,
+    pub has_queue: bool,
 }
 
 /// What is to be done with it now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// It is sent.
     Send,
     /// It waits in the box.
-    Wait,
+    Queue,
     /// It can't be in time; the time after which there is room.
-    Refuse(Duration),
+    Reject(Duration),
 }
 
 /// Judges a request that nothing has been done for.
-pub fn judge(request: &Request, estimate: &Estimate) -> Verdict {
-    let Estimate { first, queued } = *estimate;
-    if !queued {
-        return Verdict::Send;
+pub fn decide(request: &Request, estimate: &Estimate) -> Decision {
+    let Estimate { ttft, has_queue } = *estimate;
+    if !has_queue {
+        return Decision::Send;
     }
-    let limit = request.urgent.min(request.target).mul_f64(FILL_SHARE);
-    let late = request.waited + first > request.target;
-    if late && first > limit.mul_f64(LATE_FILL_SHARE) {
-        return Verdict::Refuse(first.saturating_sub(limit));
+    let limit = request
+        .urgent_ttft_target
+        .min(request.ttft_target)
+        .mul_f64(FILL_SHARE);
+    let late = request.waited + ttft > request.ttft_target;
+    if late && ttft > limit.mul_f64(LATE_FILL_SHARE) {
+        return Decision::Reject(ttft.saturating_sub(limit));
     }
-    if first > limit {
-        return Verdict::Wait;
+    if ttft > limit {
+        return Decision::Queue;
     }
-    Verdict::Send
+    Decision::Send
 }
--- a/crates/jb-policy/src/lib.rs
+++ b/crates/jb-policy/src/lib.rs
@@ -5,12 +5,12 @@
 //! [`Moment`]s, durations since a start of the caller's choice.
 
 pub mod account;
+pub mod admission;
 pub mod backoff;
 pub mod call;
 pub mod cell;
 pub mod claim;
 pub mod election;
-pub mod gate;
 pub mod hall;
 pub mod health;
 pub mod knowledge;
--- a/crates/jb-policy/tests/overload.rs
+++ b/crates/jb-policy/tests/overload.rs
@@ -13,7 +13,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use jb_policy::gate::{self, Estimate, Verdict};
+use jb_policy::admission::{self, Decision, Estimate};
 use jb_policy::pace::Pace;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -179,7 +179,7 @@
 }
 
 /// Judges requests; the engine is the one with the least time to a first token of two drawn ones.
-type Judge = fn(&gate::Request, &Estimate) -> Verdict;
+type Judge = fn(&admission::Request, &Estimate) -> Decision;
 
 /// What became of requests, by the second in which they came.
 fn play(judge: Judge, seed: u64) -> Vec<Second> {
@@ -220,15 +220,21 @@
                 continue;
             }
             let (at, first, ahead) = best(&engines[..live], request.kind, cold, &pace, &mut random);
-            let asked = gate::Request {
+            let asked = admission::Request {
                 waited: millis(now - request.asked),
-                target: request.kind.target,
-                urgent: URGENT,
+                ttft_target: request.kind.target,
+                urgent_ttft_target: URGENT,
             };
             let unread = engines[at].reads(request.kind, cold);
             let queued = engines[at].load().1 > 0.0;
-            match judge(&asked, &Estimate { first, queued }) {
-                Verdict::Send => engines[at].queue.push_back(Run {
+            match judge(
+                &asked,
+                &Estimate {
+                    ttft: first,
+                    has_queue: queued,
+                },
+            ) {
+                Decision::Send => engines[at].queue.push_back(Run {
                     kind: request.kind,
                     came: request.came,
                     sent: now,
@@ -237,11 +243,11 @@
                     steps: request.kind.steps,
                     first: None,
                 }),
-                Verdict::Wait => {
+                Decision::Queue => {
                     request.look_at = now + LOOK_MS;
                     still.push(request);
                 }
-                Verdict::Refuse(after) if request.asked <= request.came => {
+                Decision::Reject(after) if request.asked <= request.came => {
                     // Callers come back once, as they are told.
                     let back = now + (after.as_secs_f64() * 1000.0).max(50.0) + 6.0;
                     still.push(Waiting {
@@ -250,7 +256,7 @@
                         ..request
                     });
                 }
-                Verdict::Refuse(_) => {}
+                Decision::Reject(_) => {}
             }
         }
         waiting = still;
@@ -283,25 +289,28 @@
 }
 
 /// Requests wait until their last call, and the late ones go then, each at its highest cost.
-fn until_last_call(request: &gate::Request, estimate: &Estimate) -> Verdict {
+fn until_last_call(request: &admission::Request, estimate: &Estimate) -> Decision {
     const TRUSTED: f64 = 0.8;
     const LATE: f64 = 0.4;
     /// Time after which a caller leaves.
     const PATIENCE: Duration = Duration::from_secs(4);
-    if !estimate.queued {
-        return Verdict::Send;
+    if !estimate.has_queue {
+        return Decision::Send;
     }
-    let limit = request.urgent.min(request.target).mul_f64(TRUSTED);
-    let whole = request.waited + estimate.first;
+    let limit = request
+        .urgent_ttft_target
+        .min(request.ttft_target)
+        .mul_f64(TRUSTED);
+    let whole = request.waited + estimate.ttft;
     if whole > PATIENCE {
-        return Verdict::Refuse(estimate.first);
+        return Decision::Reject(estimate.ttft);
     }
-    let late = whole > request.target;
+    let late = whole > request.ttft_target;
     let limit = if late { limit.mul_f64(LATE) } else { limit };
-    if estimate.first <= limit || whole > PATIENCE.mul_f64(TRUSTED) {
-        Verdict::Send
+    if estimate.ttft <= limit || whole > PATIENCE.mul_f64(TRUSTED) {
+        Decision::Send
     } else {
-        Verdict::Wait
+        Decision::Queue
     }
 }
 
@@ -326,7 +335,7 @@
 #[test]
 fn nine_of_ten_requests_are_in_time_while_a_quarter_of_the_engines_is_dark() {
     let dark = |judge| sum(judge, DARK_FROM, DARK_UNTIL);
-    let (before, now) = (dark(until_last_call as Judge), dark(gate::judge as Judge));
+    let (before, now) = (dark(until_last_call as Judge), dark(admission::decide as Judge));
     let in_time = |second: &Second| thousandths(second.in_time, second.asked);
     println!(
         "in time of a thousand: by last call {}, now {}",
@@ -341,6 +350,6 @@
 
 #[test]
 fn overload_is_over_two_seconds_after_its_cause() {
-    let after = sum(gate::judge, DARK_UNTIL + 2.0, LENGTH - 1.0);
+    let after = sum(admission::decide, DARK_UNTIL + 2.0, LENGTH - 1.0);
     assert!(thousandths(after.in_time, after.asked) > 980, "{after:?}");
 }
--- a/crates/jb-relay/src/exchange/ask.rs
+++ b/crates/jb-relay/src/exchange/ask.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use futures_util::future::join_all;
 use jb_policy::account::{self, Load, Place};
-use jb_policy::gate::{Estimate, Verdict};
+use jb_policy::admission::{Decision, Estimate};
 use jb_policy::placement::{self, Candidate, CostModel};
 
 use super::place::{self, Among, Choice};
@@ -170,9 +170,9 @@
         let verdict = if first {
             place::judge(self.core, ticket, &estimate)
         } else {
-            Verdict::Send
+            Decision::Send
         };
-        if verdict != Verdict::Send {
+        if verdict != Decision::Send {
             return Some(Choice {
                 instance: best.instance,
                 estimate,
@@ -193,8 +193,8 @@
 
     fn estimate(&self, asked: &Asked) -> Estimate {
         Estimate {
-            first: placement::time_to_first_token(&asked.candidate, &self.wanted.demand, &self.tuning),
-            queued: asked.view.load.waiting > 0,
+            ttft: placement::time_to_first_token(&asked.candidate, &self.wanted.demand, &self.tuning),
+            has_queue: asked.view.load.waiting > 0,
         }
     }
 
@@ -214,7 +214,7 @@
         });
         Choice {
             estimate: self.estimate(best),
-            verdict: Verdict::Send,
+            verdict: Decision::Send,
             full: best.candidate.is_full(),
             isolated: false,
             advice: Some(Advice {
@@ -272,10 +272,10 @@
     Choice {
         instance: own.clone(),
         estimate: Estimate {
-            first: Duration::ZERO,
-            queued: false,
+            ttft: Duration::ZERO,
+            has_queue: false,
         },
-        verdict: Verdict::Send,
+        verdict: Decision::Send,
         full: false,
         isolated: false,
         advice: Some(Advice {
--- a/crates/jb-relay/src/exchange/isolation.rs
+++ b/crates/jb-relay/src/exchange/isolation.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use jb_policy::Moment;
-use jb_policy::gate::{Estimate, Verdict};
+use jb_policy::admission::{Decision, Estimate};
 use jb_policy::poison;
 
 use super::pick::Refused;
@@ -102,10 +102,10 @@
         Some(Choice {
             instance,
             estimate: Estimate {
-                first: Duration::ZERO,
-                queued: false,
+                ttft: Duration::ZERO,
+                has_queue: false,
             },
-            verdict: Verdict::Send,
+            verdict: Decision::Send,
             full: false,
             isolated: true,
             advice: None,
--- a/crates/jb-relay/src/exchange/pick.rs
+++ b/crates/jb-relay/src/exchange/pick.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use jb_policy::Moment;
-use jb_policy::gate::Verdict;
+use jb_policy::admission::Decision;
 use tokio::time::sleep;
 
 use super::isolation::{Pass, SUSPECT_PATIENCE};
@@ -54,9 +54,9 @@
             let pause = match place::choose_advised(self.core, ticket, self.message.body, &self.tried).await {
                 Some(choice) if !self.tried.is_empty() => return Some(choice),
                 Some(choice) => match choice.verdict {
-                    Verdict::Send => return Some(choice),
-                    Verdict::Wait => LOOK_FOR_PLACE,
-                    Verdict::Refuse(after) => {
+                    Decision::Send => return Some(choice),
+                    Decision::Queue => LOOK_FOR_PLACE,
+                    Decision::Reject(after) => {
                         self.refused = Some(Refused {
                             why: "no_room",
                             after,
--- a/crates/jb-relay/src/exchange/place.rs
+++ b/crates/jb-relay/src/exchange/place.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use jb_policy::Moment;
-use jb_policy::gate::{self, Estimate, Verdict};
+use jb_policy::admission::{self, Decision, Estimate};
 use jb_policy::placement::{self, CostModel, Demand};
 use jb_policy::reach::Avoided;
 
@@ -20,7 +20,7 @@
     pub(super) instance: Instance,
     pub(super) estimate: Estimate,
     /// Whether it is sent there now, as the first send.
-    pub(super) verdict: Verdict,
+    pub(super) verdict: Decision,
     /// Whether all its places are taken.
     pub(super) full: bool,
     /// Whether the request is a suspect, and the only one there.
@@ -32,7 +32,7 @@
 impl Choice {
     /// Whether the upstream has a place for the request now.
     fn has_place(&self) -> bool {
-        self.verdict == Verdict::Send && !self.full
+        self.verdict == Decision::Send && !self.full
     }
 }
 
@@ -107,8 +107,8 @@
     let tuning = tuning(core, ticket);
     let at = placement::best(&candidates, &wanted.demand, &tuning)?;
     let estimate = Estimate {
-        first: placement::time_to_first_token(&candidates[at], &wanted.demand, &tuning),
-        queued: candidates[at].queued_tokens > 0,
+        ttft: placement::time_to_first_token(&candidates[at], &wanted.demand, &tuning),
+        has_queue: candidates[at].queued_tokens > 0,
     };
     Some(Choice {
         instance: ids[at].clone(),
@@ -116,7 +116,7 @@
         verdict: if core.book.borrow().is_small() {
             judge(core, ticket, &estimate)
         } else {
-            Verdict::Send
+            Decision::Send
         },
         full: candidates[at].is_full(),
         isolated: false,
@@ -145,19 +145,19 @@
 }
 
 /// Whether a request that nothing has been done for is sent now.
-pub(super) fn judge(core: &Core, ticket: &Ticket, estimate: &Estimate) -> Verdict {
+pub(super) fn judge(core: &Core, ticket: &Ticket, estimate: &Estimate) -> Decision {
     if ticket.prompt.is_empty() {
-        return Verdict::Send;
+        return Decision::Send;
     }
     let left = ticket.until.saturating_sub(ticket.arrived);
     let target = ticket.route.target.min(left);
     let urgent = ticket.rules.urgent_target(&ticket.service, ticket.route.rank);
-    let request = gate::Request {
+    let request = admission::Request {
         waited: core.now().saturating_sub(ticket.arrived),
-        target,
-        urgent: urgent.unwrap_or(target),
+        ttft_target: target,
+        urgent_ttft_target: urgent.unwrap_or(target),
     };
-    gate::judge(&request, estimate)
+    admission::decide(&request, estimate)
 }
 
 /// Whether another upstream takes a request whose upstream is silent: one is open, and the
--- a/crates/jb-relay/src/exchange/run.rs
+++ b/crates/jb-relay/src/exchange/run.rs
@@ -168,7 +168,7 @@
         // It is a try of a suspect until the end of this send.
         let _tried = isolated.then(|| quarantine::begin(core, self.content(), instance));
         let outcome = tokio::select! {
-            outcome = self.patiently(instance, permit, estimate.first) => outcome,
+            outcome = self.patiently(instance, permit, estimate.ttft) => outcome,
             () = client.closed() => {
                 // It is under way, and may run.
                 self.runs += 1;
