--- a/crates/jb-daemon/src/quarantine.rs
+++ b/crates/jb-daemon/src/quarantine.rs
@@ -6,9 +6,8 @@
 use std::time::Duration;
 
 use futures_util::future::select_ok;
-use jb_policy::Moment;
-use jb_policy::place;
 use jb_policy::poison::{EngineId, Evidence, Fingerprint, Ledger, Row, Verdict};
+use jb_policy::{Moment, rendezvous};
 use jb_protocol::{event, id};
 use jb_wire::peer::Suspect;
 use tokio::io::AsyncReadExt;
@@ -103,7 +102,7 @@
 /// of its own.
 pub fn engine(upstream: &str, incarnation: Option<id::Incarnation>) -> EngineId {
     let instance = incarnation.unwrap_or_default();
-    place::short(place::weight(place::name_hash(upstream), instance))
+    rendezvous::short_hash(rendezvous::weight(rendezvous::name_hash(upstream), instance))
 }
 
 /// Receives the evidence of another box.
--- a/crates/jb-daemon/src/serve/completions.rs
+++ b/crates/jb-daemon/src/serve/completions.rs
@@ -198,7 +198,7 @@
     };
     let wish = Reservation {
         key: idempotency::key(customer, service, key),
-        owner: jb_policy::place::name_hash(id),
+        owner: jb_policy::rendezvous::name_hash(id),
     };
     match context.claims.claim(wish).await {
         Ok(Decision::Granted) => Ok(()),
--- a/crates/jb-policy/src/lib.rs
+++ b/crates/jb-policy/src/lib.rs
@@ -5,14 +5,12 @@
 //! [`Moment`]s, durations since a start of the caller's choice.
 
 pub mod account;
+pub mod admission;
 pub mod backoff;
 pub mod call;
 pub mod cell;
-pub mod choose;
-
 pub mod dissemination;
 pub mod election;
-pub mod gate;
 pub mod hall;
 pub mod hall_reachability;
 pub mod health;
@@ -23,7 +21,7 @@
 pub mod member;
 pub mod outage;
 pub mod pace;
-pub mod place;
+pub mod placement;
 pub mod poison;
 pub mod prefix;
 pub mod prefix_cache;
@@ -31,6 +29,7 @@
 pub mod pressure;
 pub mod quota;
 pub mod rate_limit;
+pub mod rendezvous;
 pub mod route;
 pub mod share;
 pub mod signal;
--- a/crates/jb-policy/src/upstream.rs
+++ b/crates/jb-policy/src/upstream.rs
@@ -7,15 +7,14 @@
 use jb_protocol::id;
 use jb_protocol::token::TOKENS_PER_BLOCK;
 
-use crate::Moment;
 use crate::backoff::Backoff;
 use crate::health::Health;
 use crate::load::Backlog;
-use crate::place;
 use crate::prefix_index::{EngineIndex, Epoch, Fill, Holder};
 use crate::pressure::Pressure;
 use crate::rate_limit::{Rate, Share};
 use crate::signal::Signals;
+use crate::{Moment, rendezvous};
 
 /// Time for which an upstream that denied a request is left alone.
 const DENIAL: Duration = Duration::from_secs(1);
@@ -87,7 +86,7 @@
 impl Upstream {
     /// An upstream of which nothing is known yet; it may get work at once.
     pub fn new(id: id::Upstream) -> Self {
-        let hash = place::name_hash(&id);
+        let hash = rendezvous::name_hash(&id);
         Self {
             id,
             hash,
--- a/crates/jb-relay/src/exchange/place.rs
+++ b/crates/jb-relay/src/exchange/place.rs
@@ -2,9 +2,9 @@
 
 use bytes::Bytes;
 use jb_policy::Moment;
-use jb_policy::choose::{self, Demand, Tuning};
-use jb_policy::gate::{self, Estimate, Verdict};
+use jb_policy::admission::{self, Decision, Estimate};
 use jb_policy::hall_reachability::Avoided;
+use jb_policy::placement::{self, CostModel, Demand};
 
 use super::ask::{self, Advice};
 use crate::core::{Core, Shared};
@@ -20,7 +20,7 @@
     pub(super) instance: Instance,
     pub(super) estimate: Estimate,
     /// Whether it is sent there now, as the first send.
-    pub(super) verdict: Verdict,
+    pub(super) verdict: Decision,
     /// Whether all its places are taken.
     pub(super) full: bool,
     /// Whether the request is a suspect, and the only one there.
@@ -32,7 +32,7 @@
 impl Choice {
     /// Whether the upstream has a place for the request now.
     fn has_place(&self) -> bool {
-        self.verdict == Verdict::Send && !self.full
+        self.verdict == Decision::Send && !self.full
     }
 }
 
@@ -105,10 +105,10 @@
     let wanted = wanted(core, ticket, body, tried, among);
     let (ids, candidates) = core.upstreams.borrow().candidates(&wanted, core.now());
     let tuning = tuning(core, ticket);
-    let at = choose::best(&candidates, &wanted.demand, &tuning)?;
+    let at = placement::best(&candidates, &wanted.demand, &tuning)?;
     let estimate = Estimate {
-        first: choose::first_token(&candidates[at], &wanted.demand, &tuning),
-        queued: candidates[at].waiting > 0,
+        ttft: placement::time_to_first_token(&candidates[at], &wanted.demand, &tuning),
+        has_queue: candidates[at].queued_tokens > 0,
     };
     Some(Choice {
         instance: ids[at].clone(),
@@ -116,7 +116,7 @@
         verdict: if core.book.borrow().is_small() {
             judge(core, ticket, &estimate)
         } else {
-            Verdict::Send
+            Decision::Send
         },
         full: candidates[at].is_full(),
         isolated: false,
@@ -126,7 +126,7 @@
 }
 
 /// Weights of the choice, with what is known of the service's engines.
-pub(super) fn tuning(core: &Core, ticket: &Ticket) -> Tuning {
+pub(super) fn tuning(core: &Core, ticket: &Ticket) -> CostModel {
     let pace = core
         .paces
         .borrow()
@@ -135,27 +135,29 @@
         .unwrap_or_default();
     let service = ticket.rules.services.get(&ticket.service);
     let moves = service.and_then(|service| service.move_per_k);
-    Tuning {
-        tokens_per_ms: pace.tokens_per_ms(),
-        move_per_k: moves.map_or(core.tuning.move_per_k, |time| time.as_secs_f64() * 1000.0),
+    CostModel {
+        prefill_tokens_per_ms: pace.tokens_per_ms(),
+        transfer_time_per_1k: moves.map_or(core.tuning.transfer_time_per_1k, |time| {
+            time.as_secs_f64() * 1000.0
+        }),
         ..core.tuning
     }
 }
 
 /// Whether a request that nothing has been done for is sent now.
-pub(super) fn judge(core: &Core, ticket: &Ticket, estimate: &Estimate) -> Verdict {
+pub(super) fn judge(core: &Core, ticket: &Ticket, estimate: &Estimate) -> Decision {
     if ticket.prompt.is_empty() {
-        return Verdict::Send;
+        return Decision::Send;
     }
     let left = ticket.until.saturating_sub(ticket.arrived);
     let target = ticket.route.target.min(left);
     let urgent = ticket.rules.urgent_target(&ticket.service, ticket.route.rank);
-    let request = gate::Request {
+    let request = admission::Request {
         waited: core.now().saturating_sub(ticket.arrived),
-        target,
-        urgent: urgent.unwrap_or(target),
+        ttft_target: target,
+        urgent_ttft_target: urgent.unwrap_or(target),
     };
-    gate::judge(&request, estimate)
+    admission::decide(&request, estimate)
 }
 
 /// Whether another upstream takes a request whose upstream is silent: one is open, and the
--- a/crates/jb-relay/src/peers/broadcast.rs
+++ b/crates/jb-relay/src/peers/broadcast.rs
@@ -9,8 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use jb_policy::dissemination;
-use jb_policy::place;
+use jb_policy::{dissemination, rendezvous};
 use jb_protocol::id;
 use tokio::net::UdpSocket;
 
@@ -122,7 +121,9 @@
     rest.extend(heads.split_off(dissemination::group_count(heads.len() + rest.len()).min(heads.len())));
     (
         heads.iter().map(|(_, peer)| peer.address).collect(),
-        rest.iter().map(|(_, peer)| place::short(peer.name)).collect(),
+        rest.iter()
+            .map(|(_, peer)| rendezvous::short_hash(peer.name))
+            .collect(),
     )
 }
 
--- a/crates/jb-relay/src/upstream/pick.rs
+++ b/crates/jb-relay/src/upstream/pick.rs
@@ -1,8 +1,8 @@
 //! Which upstreams may get a request, and who keeps parts of its prompt.
 
 use jb_policy::Moment;
-use jb_policy::choose::Candidate;
-use jb_policy::place;
+use jb_policy::placement::Candidate;
+use jb_policy::rendezvous;
 use jb_policy::weights::Overdue;
 
 use super::{CacheSource, Criteria, Instance, Registry, Upstream};
@@ -18,7 +18,7 @@
 fn first<'a>(family: u64, all: impl Iterator<Item = &'a Upstream>, count: usize) -> Vec<Instance> {
     let (instances, names): (Vec<&Instance>, Vec<u64>) =
         all.map(|upstream| (&upstream.instance, upstream.name)).unzip();
-    let first = place::top(family, names.into_iter().enumerate(), count);
+    let first = rendezvous::top(family, names.into_iter().enumerate(), count);
     first.into_iter().map(|at| instances[at].clone()).collect()
 }
 
@@ -151,7 +151,7 @@
             let others = holders
                 .iter()
                 .filter(|holder| *holder.instance != upstream.instance && Some(holder.weights) == has);
-            candidate.elsewhere = others.map(|holder| holder.found).max().unwrap_or(0);
+            candidate.peer_cached_tokens = others.map(|holder| holder.found).max().unwrap_or(0);
             (upstream.instance.clone(), candidate)
         };
         self.open(wanted, now).map(candidate).unzip()
