--- a/crates/jb-relay/src/cache_store.rs
+++ b/crates/jb-relay/src/cache_store.rs
@@ -7,7 +7,7 @@
 use jb_policy::place;
 use jb_policy::prefix_cache::{PrefixCache, Segment};
 
-use crate::rules::CacheStoreConfig;
+use crate::configuration::CacheStoreConfig;
 
 /// One store.
 #[derive(Debug)]
--- a/crates/jb-relay/src/rules.rs
+++ b/crates/jb-relay/src/configuration.rs
@@ -182,7 +182,7 @@
 
 /// One whole configuration.
 #[derive(Clone, Debug, Default)]
-pub struct Rules {
+pub struct Configuration {
     /// Version; it only rises.
     pub version: u64,
     /// Routes of each host, the longest prefix first.
@@ -203,27 +203,33 @@
     pub first_rank: u8,
 }
 
-impl Rules {
+impl Configuration {
     /// Compiles a configuration.
     pub fn new(version: u64, routes: Vec<Route>, customers: Vec<(Customer, Vec<String>)>) -> Self {
-        let mut rules = Self {
+        let mut configuration = Self {
             version,
             ..Self::default()
         };
-        rules.first_rank = routes.iter().map(|route| route.rank).min().unwrap_or(0);
+        configuration.first_rank = routes.iter().map(|route| route.rank).min().unwrap_or(0);
         for route in routes {
-            rules.hosts.entry(route.host.clone()).or_default().push(route);
+            configuration
+                .hosts
+                .entry(route.host.clone())
+                .or_default()
+                .push(route);
         }
-        for routes in rules.hosts.values_mut() {
+        for routes in configuration.hosts.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
         for (customer, keys) in customers {
-            let position = rules.customers.len();
-            rules.short.insert(short_name(&customer.name), position);
-            rules.customers.push(customer);
-            rules.keys.extend(keys.into_iter().map(|key| (key, position)));
+            let position = configuration.customers.len();
+            configuration.short.insert(short_name(&customer.name), position);
+            configuration.customers.push(customer);
+            configuration
+                .keys
+                .extend(keys.into_iter().map(|key| (key, position)));
         }
-        rules
+        configuration
     }
 
     /// The route of a request, by host and longest prefix.
--- a/crates/jb-relay/src/core.rs
+++ b/crates/jb-relay/src/core.rs
@@ -17,6 +17,7 @@
 use slog::Logger;
 
 use crate::cache_store::CacheStores;
+use crate::configuration::Configuration;
 use crate::metrics::Metrics;
 use crate::mirror::Mirror;
 use crate::names::Names;
@@ -27,7 +28,6 @@
 use crate::port::{Change, Engines, Era, Revision, Store};
 use crate::quarantine::Quarantine;
 use crate::restore::Restore;
-use crate::rules::Rules;
 use crate::settings::Settings;
 use crate::stop::Stop;
 use crate::unknown_signals::UnknownSignals;
@@ -64,7 +64,7 @@
     /// Planned stop.
     pub stop: Stop,
     /// Configuration in force; `None` before the first.
-    pub rules: RefCell<Option<Rc<Rules>>>,
+    pub configuration: RefCell<Option<Rc<Configuration>>>,
     /// When the call was sent whose answer proves what is in force.
     pub proven: Cell<Option<Moment>>,
     /// The same without updates of other boxes while the own path to the store was cut.
@@ -160,7 +160,7 @@
             logger: parts.logger,
             metrics: Metrics::default(),
             stop: Stop::default(),
-            rules: RefCell::default(),
+            configuration: RefCell::default(),
             proven: Cell::default(),
             proven_directly: Cell::default(),
             store_seen: Cell::default(),
@@ -297,8 +297,8 @@
     }
 
     /// Configuration in force.
-    pub fn rules(&self) -> Option<Rc<Rules>> {
-        self.rules.borrow().clone()
+    pub fn configuration(&self) -> Option<Rc<Configuration>> {
+        self.configuration.borrow().clone()
     }
 
     /// Counts a new request of a service.
--- a/crates/jb-relay/src/exchange/place.rs
+++ b/crates/jb-relay/src/exchange/place.rs
@@ -133,7 +133,7 @@
         .get(&ticket.service)
         .copied()
         .unwrap_or_default();
-    let service = ticket.rules.services.get(&ticket.service);
+    let service = ticket.configuration.services.get(&ticket.service);
     let moves = service.and_then(|service| service.move_per_k);
     Tuning {
         tokens_per_ms: pace.tokens_per_ms(),
@@ -149,7 +149,9 @@
     }
     let left = ticket.until.saturating_sub(ticket.arrived);
     let target = ticket.route.target.min(left);
-    let urgent = ticket.rules.urgent_target(&ticket.service, ticket.route.rank);
+    let urgent = ticket
+        .configuration
+        .urgent_target(&ticket.service, ticket.route.rank);
     let request = gate::Request {
         waited: core.now().saturating_sub(ticket.arrived),
         target,
--- a/crates/jb-relay/src/exchange/prompt.rs
+++ b/crates/jb-relay/src/exchange/prompt.rs
@@ -181,7 +181,7 @@
     fn memory(&self) -> u64 {
         let ticket = self.message.ticket;
         ticket
-            .rules
+            .configuration
             .services
             .get(&ticket.service)
             .map_or(0, |service| service.memory_tokens)
--- a/crates/jb-relay/src/exchange/run.rs
+++ b/crates/jb-relay/src/exchange/run.rs
@@ -15,12 +15,12 @@
 use super::pick::Refused;
 use super::place::{self, Choice};
 use crate::attempt::{self, Message, Outcome, Reply};
+use crate::configuration::Kind;
 use crate::core::Shared;
 use crate::deliver::{self, Delivered, Pace};
 use crate::http::{Connection, Query};
 use crate::peers::{self, Held, Permit};
 use crate::quarantine;
-use crate::rules::Kind;
 use crate::ticket::Ticket;
 use crate::upstream::Instance;
 
--- a/crates/jb-relay/src/follow/facts.rs
+++ b/crates/jb-relay/src/follow/facts.rs
@@ -4,11 +4,11 @@
 use jb_protocol::{emit, event};
 
 use super::missing;
+use crate::configuration::Configuration;
 use crate::core::Core;
 use crate::peers;
 use crate::port::{Change, Fact, Registration, Revision};
 use crate::restart;
-use crate::rules::Rules;
 use crate::settled;
 use crate::upstream::{Ended, Seen, Upstream};
 
@@ -60,7 +60,7 @@
 /// Puts one fact in force.
 pub(super) fn apply(core: &Core, fact: Fact, revision: Revision, tally: &mut Tally) {
     match fact {
-        Fact::Rules(rules) => put_rules(core, *rules),
+        Fact::Configuration(configuration) => put_rules(core, *configuration),
         Fact::Upstream(id, registration) => apply_registration(core, &id, registration, revision, tally),
         Fact::Weights(named) => {
             // The release may have been at any time since the last update.
@@ -78,18 +78,22 @@
     }
 }
 
-fn put_rules(core: &Core, rules: Rules) {
-    let known = core.rules().map_or(0, |rules| rules.version);
-    if core.rules().is_some() && rules.version <= known {
+fn put_rules(core: &Core, configuration: Configuration) {
+    let known = core
+        .configuration()
+        .map_or(0, |configuration| configuration.version);
+    if core.configuration().is_some() && configuration.version <= known {
         return;
     }
-    emit!(core.logger, info, event::RULES_IN_FORCE, "version" => rules.version, "before" => known,
-        "routes" => rules.routes());
-    core.cache_stores.borrow_mut().configure(&rules.cache_stores);
+    emit!(core.logger, info, event::RULES_IN_FORCE, "version" => configuration.version, "before" => known,
+        "routes" => configuration.routes());
+    core.cache_stores
+        .borrow_mut()
+        .configure(&configuration.cache_stores);
     core.metrics
         .version
-        .set(i64::try_from(rules.version).unwrap_or(i64::MAX));
-    *core.rules.borrow_mut() = Some(std::rc::Rc::new(rules));
+        .set(i64::try_from(configuration.version).unwrap_or(i64::MAX));
+    *core.configuration.borrow_mut() = Some(std::rc::Rc::new(configuration));
 }
 
 fn apply_registration(
--- a/crates/jb-relay/src/front.rs
+++ b/crates/jb-relay/src/front.rs
@@ -8,11 +8,11 @@
 use tokio::time::{sleep, timeout};
 
 use crate::accept;
+use crate::configuration::Limits;
 use crate::core::Shared;
 use crate::exchange::{Ending, Exchange};
 use crate::http::{Body, Connection, Error, Framing, Query, write_answer};
 use crate::peers;
-use crate::rules::Limits;
 use crate::stop;
 use crate::ticket::{self, Refusal, Ticket};
 
@@ -59,7 +59,10 @@
 
 /// Serves one request; whether the connection goes on.
 async fn one_request(core: &Shared, client: &mut Connection) -> bool {
-    let limits = core.rules().map(|rules| rules.limits).unwrap_or_default();
+    let limits = core
+        .configuration()
+        .map(|configuration| configuration.limits)
+        .unwrap_or_default();
     if client.buffer.is_empty() && !rested(core, client, &limits).await {
         return false;
     }
@@ -219,7 +222,7 @@
     let status = refusal.status();
     core.metrics.ended(refusal.name(), status);
     emit!(core.logger, info, event::REQUEST_REFUSED, "request" => id, "status" => status,
-        "why" => refusal.name(), "version" => core.rules().map(|rules| rules.version),
+        "why" => refusal.name(), "version" => core.configuration().map(|configuration| configuration.version),
         "age_ms" => core.age().map(|age| age.as_millis() as u64),
         "key_age_ms" => core.key_age().map(|age| age.as_millis() as u64));
     let after = (status == 503).then_some(COME_BACK);
@@ -270,7 +273,7 @@
         "service" => &ticket.service, "ending" => name, "status" => status, "why" => why,
         "ms" => exchange.took().as_millis() as u64, "tried" => tried(exchange),
         "first_ms" => exchange.pace().first.map(|first| first.as_millis() as u64),
-        "pause_ms" => exchange.pace().pause.as_millis() as u64, "version" => ticket.rules.version);
+        "pause_ms" => exchange.pace().pause.as_millis() as u64, "version" => ticket.configuration.version);
 }
 
 /// Ids of the upstreams that were tried, the first one first.
--- a/crates/jb-relay/src/peers/account.rs
+++ b/crates/jb-relay/src/peers/account.rs
@@ -259,8 +259,8 @@
 fn answer(core: &Core, question: &Question) -> Option<Advice> {
     let now = core.now();
     let memory = |service: &str| {
-        let rules = core.rules()?;
-        Some(rules.services.get(service)?.memory_tokens)
+        let configuration = core.configuration()?;
+        Some(configuration.services.get(service)?.memory_tokens)
     };
     let mut upstreams = core.upstreams.borrow_mut();
     let upstream = upstreams.by_short_name_mut(question.engine)?;
--- a/crates/jb-relay/src/peers/quota.rs
+++ b/crates/jb-relay/src/peers/quota.rs
@@ -17,8 +17,8 @@
 use super::message::{Charge, Grant, Message};
 use super::owner::{self, Owner, Scope};
 use super::socket::try_send;
+use crate::configuration::{Quota, short_name};
 use crate::core::{Core, Shared};
-use crate::rules::{Quota, short_name};
 use crate::saturating_cast::saturating_cast;
 use crate::ticket::Ticket;
 
@@ -109,7 +109,7 @@
         nonce: core.quotas.inquiries.draw_nonce(),
         customer,
         tokens,
-        urgent: ticket.route.rank <= ticket.rules.first_rank,
+        urgent: ticket.route.rank <= ticket.configuration.first_rank,
         again: false,
         uncharged: core.quotas.take_uncharged(customer),
         left: left(core, customer),
@@ -123,7 +123,7 @@
             tokens,
         }));
     };
-    let limit = ticket.rules.quota(customer).map(|quota| quota.limit.rate);
+    let limit = ticket.configuration.quota(customer).map(|quota| quota.limit.rate);
     core.metrics.limited.inc();
     emit!(core.logger, info, event::REQUEST_LIMITED, "request" => &ticket.id, "customer" => name,
         "tokens" => tokens, "limit_per_s" => limit, "left" => grant.left, "owner" => owner, "after_ms" => after);
@@ -191,7 +191,9 @@
 /// Judges a charge by the account that this box keeps.
 fn answer(core: &Core, charge: &Charge, scope: Scope) -> Grant {
     let now = core.now();
-    let quota = core.rules().and_then(|rules| rules.quota(charge.customer));
+    let quota = core
+        .configuration()
+        .and_then(|configuration| configuration.quota(charge.customer));
     let Some(Quota { limit, .. }) = quota else {
         // The limit was removed by a configuration that the asker doesn't have yet.
         return grant(charge, Ok(()), f64::MAX);
--- a/crates/jb-relay/src/port.rs
+++ b/crates/jb-relay/src/port.rs
@@ -10,7 +10,7 @@
 use jb_protocol::id;
 use serde::{Deserialize, Serialize};
 
-use crate::rules::Rules;
+use crate::configuration::Configuration;
 
 /// Number of times that the store has been restored from a copy.
 pub type Era = u64;
@@ -111,7 +111,7 @@
 #[derive(Clone, Debug)]
 pub enum Fact {
     /// The configuration.
-    Rules(Box<Rules>),
+    Configuration(Box<Configuration>),
     /// Word of an upstream, by its id.
     Upstream(String, Registration),
     /// The newest version of a model's weights.
--- a/crates/jb-relay/src/ready.rs
+++ b/crates/jb-relay/src/ready.rs
@@ -28,7 +28,7 @@
     let fresh = core
         .path_age()
         .is_some_and(|age| age < core.settings.bounds.revoke.mul_f64(STALE_SHARE));
-    fresh && core.rules().is_some() && !core.stop.is_stopping()
+    fresh && core.configuration().is_some() && !core.stop.is_stopping()
 }
 
 /// Answers checks for ever.
--- a/crates/jb-relay/src/ticket.rs
+++ b/crates/jb-relay/src/ticket.rs
@@ -8,9 +8,9 @@
 use jb_policy::prefix_cache::Segment;
 use jb_protocol::id;
 
+use crate::configuration::{Configuration, Route, Unit};
 use crate::core::Core;
 use crate::http::Query;
-use crate::rules::{Route, Rules, Unit};
 use crate::salt;
 
 /// Part of the bound on keys after which a box without updates refuses them;
@@ -27,7 +27,7 @@
     /// Id that the caller gave.
     pub id: String,
     /// Configuration that it was judged by.
-    pub rules: Rc<Rules>,
+    pub configuration: Rc<Configuration>,
     /// Its route.
     pub route: Route,
     /// Its service.
@@ -107,7 +107,7 @@
         .text(names.request)
         .filter(|id| !id.is_empty())
         .ok_or(Refusal::NoId)?;
-    let rules = core.rules().ok_or(Refusal::NotReady)?;
+    let configuration = core.configuration().ok_or(Refusal::NotReady)?;
     let age = core.age().ok_or(Refusal::NotReady)?;
     // What is missing here may be in a configuration that this box doesn't have yet.
     let unsure = age > core.settings.bounds.config;
@@ -115,9 +115,12 @@
 
     let host = query.headers.text("host").unwrap_or_default();
     let path = std::str::from_utf8(query.path()).unwrap_or_default();
-    let route = rules.route(host, path).ok_or(missing(Refusal::NoRoute))?.clone();
+    let route = configuration
+        .route(host, path)
+        .ok_or(missing(Refusal::NoRoute))?
+        .clone();
     let mut customer = None;
-    if !route.public && rules.wants_keys() {
+    if !route.public && configuration.wants_keys() {
         let oldest = core.settings.bounds.revoke.mul_f64(REVOKE_SHARE);
         if core.settings.bounds.strict_revoke && core.key_age().is_none_or(|age| age > oldest) {
             return Err(Refusal::Stale);
@@ -127,7 +130,12 @@
             .text("authorization")
             .and_then(bearer)
             .unwrap_or_default();
-        customer = Some(rules.customer(key).ok_or(missing(Refusal::NoKey))?.clone());
+        customer = Some(
+            configuration
+                .customer(key)
+                .ok_or(missing(Refusal::NoKey))?
+                .clone(),
+        );
     }
 
     let service = route
@@ -163,7 +171,7 @@
         out,
         arrived,
         until,
-        rules,
+        configuration,
         route,
     })
 }
--- a/crates/jb-relay/tests/rules.rs
+++ b/crates/jb-relay/tests/rules.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use jb_relay::rules::{Kind, Route};
+use jb_relay::configuration::{Kind, Route};
 
 fn route(target: Duration, pause: Duration) -> Route {
     Route {
