--- a/crates/jb-relay/src/ticket.rs
+++ b/crates/jb-relay/src/admission.rs
@@ -23,7 +23,7 @@
 
 /// A request that was let in.
 #[derive(Debug)]
-pub struct Ticket {
+pub struct AdmittedRequest {
     /// Id that the caller gave.
     pub id: String,
     /// Configuration that it was judged by.
@@ -100,7 +100,7 @@
 ///
 /// # Errors
 /// The refusal.
-pub fn admit(core: &Core, query: &Query, arrived: Moment) -> Result<Ticket, Refusal> {
+pub fn admit(core: &Core, query: &Query, arrived: Moment) -> Result<AdmittedRequest, Refusal> {
     let names = &core.names;
     let id = query
         .headers
@@ -159,7 +159,7 @@
         Unit::Requests => 1,
         Unit::Tokens { plain } => size.map_or(plain, |(read, made)| read.saturating_add(made)),
     });
-    Ok(Ticket {
+    Ok(AdmittedRequest {
         id: id.to_owned(),
         service,
         customer: customer.map(|c| c.name),
@@ -199,7 +199,7 @@
     text.split(',').map_while(segment).collect()
 }
 
-impl Ticket {
+impl AdmittedRequest {
     /// Tokens of the prompt.
     pub fn tokens(&self) -> u64 {
         self.prompt.iter().map(|segment| segment.tokens).sum()
--- a/crates/jb-relay/src/attempt.rs
+++ b/crates/jb-relay/src/attempt.rs
@@ -7,6 +7,7 @@
 use jb_policy::Moment;
 use jb_policy::poison::Content;
 
+use crate::admission::AdmittedRequest;
 use crate::core::{Core, Shared};
 use crate::http::{self, Answer, Body, Framing, Query, Step, write_query};
 use crate::link::{self, Link};
@@ -14,7 +15,6 @@
 use crate::port::Entry;
 use crate::salt;
 use crate::signal::{self, Head};
-use crate::ticket::Ticket;
 use crate::unknown_signals;
 use crate::upstream::Instance;
 
@@ -62,7 +62,7 @@
     /// Body.
     pub body: &'a Bytes,
     /// Its facts.
-    pub ticket: &'a Ticket,
+    pub request: &'a AdmittedRequest,
     /// Last event that the caller has, where a stream goes on.
     pub last_event: Option<u64>,
     /// Where the engine takes parts of the prompt from that it lacks.
@@ -75,7 +75,7 @@
     /// What it asks, as other boxes and later tries of its caller name it.
     pub fn content(&self) -> Content {
         let host = self.query.headers.get("host").unwrap_or_default();
-        let caller = self.ticket.customer.as_deref().unwrap_or_default();
+        let caller = self.request.customer.as_deref().unwrap_or_default();
         Content::new(caller, &[host, &self.query.target], self.body)
     }
 }
@@ -90,7 +90,7 @@
     let Some(entry) = entry else {
         return Outcome::Unsent("the upstream has gone".to_owned());
     };
-    let once = !message.ticket.route.repeatable();
+    let once = !message.request.route.repeatable();
     let mut link = match link::take(core, instance, once).await {
         Ok(link) => link,
         Err(why) => {
@@ -109,7 +109,7 @@
         Ok(()) => {}
         Err(why) => return Outcome::Failed(why.to_string()),
     }
-    match own_answer(core, instance, &mut link, message.ticket, sent, &mut clean).await {
+    match own_answer(core, instance, &mut link, message.request, sent, &mut clean).await {
         Ok((answer, head)) => {
             if entry.hall != core.settings.hall {
                 core.reach.borrow_mut().note_reached(&entry.hall, core.now());
@@ -132,25 +132,25 @@
 /// The head as the upstream gets it.
 fn head(core: &Core, instance: &str, entry: &Entry, message: &Message<'_>) -> BytesMut {
     let names = &core.names;
-    let ticket = message.ticket;
-    let left = ticket
+    let request = message.request;
+    let left = request
         .until
         .saturating_sub(core.now() + RETURN_LATENCY)
         .as_millis()
         .to_string();
-    let urgency = ticket.urgency.to_string();
+    let urgency = request.urgency.to_string();
     let last = message.last_event.map(|last| last.to_string());
     let mut own: Vec<(&[u8], &[u8])> = vec![
         (names.deadline.as_bytes(), left.as_bytes()),
         (names.incarnation.as_bytes(), instance.as_bytes()),
     ];
-    if let Some(customer) = &ticket.customer {
+    if let Some(customer) = &request.customer {
         own.push((names.customer.as_bytes(), customer.as_bytes()));
     }
     // The engine confirms the version.
-    let weights = entry.weights(ticket.model.as_deref().unwrap_or_default());
+    let weights = entry.weights(request.model.as_deref().unwrap_or_default());
     let version = weights.map(|version| version.to_string());
-    let salt = salt::encode(&ticket.salt, weights);
+    let salt = salt::encode(&request.salt, weights);
     let source = message.source.map(|source| source.to_string());
     let store = message.store.map(|store| store.to_string());
     if let Some(version) = &version {
@@ -221,7 +221,7 @@
     core: &Core,
     instance: &Instance,
     link: &mut Link,
-    ticket: &Ticket,
+    request: &AdmittedRequest,
     sent: Moment,
     clean: &mut bool,
 ) -> Result<(Answer, Head), http::Error> {
@@ -231,9 +231,9 @@
             continue;
         }
         let head = signal::read(&core.names, &answer);
-        if answer.headers.text(core.names.request) == Some(ticket.id.as_str()) {
+        if answer.headers.text(core.names.request) == Some(request.id.as_str()) {
             unknown_signals::note(core, instance, &answer.headers);
-            signal::apply(core, instance, ticket.model.as_deref(), &head, sent);
+            signal::apply(core, instance, request.model.as_deref(), &head, sent);
             return Ok((answer, head));
         }
         // An extra answer to an earlier request on this connection.
--- a/crates/jb-relay/src/deliver.rs
+++ b/crates/jb-relay/src/deliver.rs
@@ -6,12 +6,12 @@
 use jb_policy::Moment;
 use tokio::time::sleep;
 
+use crate::admission::AdmittedRequest;
 use crate::attempt::{Message, Reply};
 use crate::core::Shared;
 use crate::events::Splitter;
 use crate::http::{self, Answer, Connection, Framing, write_answer};
 use crate::link;
-use crate::ticket::Ticket;
 
 /// Longest answer that is held whole, so that one that breaks off never reaches the caller.
 const LONGEST_WHOLE: usize = 512 * 1024;
@@ -75,14 +75,19 @@
 }
 
 /// Delivers an answer that fits into memory in one piece.
-pub async fn whole(core: &Shared, ticket: &Ticket, mut reply: Reply, client: &mut Connection) -> Delivered {
+pub async fn whole(
+    core: &Shared,
+    request: &AdmittedRequest,
+    mut reply: Reply,
+    client: &mut Connection,
+) -> Delivered {
     let mut body = BytesMut::new();
     loop {
-        let left = ticket.until.saturating_sub(core.now());
+        let left = request.until.saturating_sub(core.now());
         match next(&mut reply, client, left, None).await {
             Part::Data(data) if body.len() + data.len() > LONGEST_WHOLE => {
                 body.extend_from_slice(&data);
-                return long(core, ticket, reply, client, body).await;
+                return long(core, request, reply, client, body).await;
             }
             Part::Data(data) => body.extend_from_slice(&data),
             Part::End => break,
@@ -103,7 +108,7 @@
 /// Passes on an answer that is too long to be held.
 async fn long(
     core: &Shared,
-    ticket: &Ticket,
+    request: &AdmittedRequest,
     mut reply: Reply,
     client: &mut Connection,
     first: BytesMut,
@@ -119,7 +124,7 @@
             return Delivered::CallerGone;
         }
         out.clear();
-        let left = ticket.until.saturating_sub(core.now());
+        let left = request.until.saturating_sub(core.now());
         match next(&mut reply, client, left, None).await {
             Part::Data(data) => put(&mut out, framing, &data),
             Part::End => break,
@@ -156,10 +161,10 @@
 }
 
 impl Pace {
-    fn event(&mut self, core: &Shared, ticket: &Ticket) {
+    fn event(&mut self, core: &Shared, request: &AdmittedRequest) {
         let now = core.now();
         if self.first.is_none() {
-            let first = now.saturating_sub(ticket.arrived);
+            let first = now.saturating_sub(request.arrived);
             core.metrics.first_byte.observe(first.as_secs_f64());
             self.first = Some(first);
         } else {
@@ -182,7 +187,7 @@
     mut started: impl FnMut(),
     mut elsewhere: impl FnMut() -> bool,
 ) -> Delivered {
-    let ticket = message.ticket;
+    let request = message.request;
     let mut events = Splitter::default();
     // The head goes out with the first event; a stream that goes on has one already.
     let mut out = match message.last_event {
@@ -190,15 +195,15 @@
         None => head(core, &reply.answer, Framing::Chunked),
     };
     let mut begun = message.last_event.is_some();
-    let silence = ticket.route.resumable.then(|| ticket.route.silence());
+    let silence = request.route.resumable.then(|| request.route.silence());
     loop {
-        let left = ticket.until.saturating_sub(core.now());
+        let left = request.until.saturating_sub(core.now());
         let patience = if begun { silence } else { None };
         match next(&mut reply, client, left, patience).await {
             Part::Data(data) => {
                 started();
                 let before = out.len();
-                if ticket.route.resumable {
+                if request.route.resumable {
                     events.push(&data);
                     if events.is_overfull() {
                         return broken(begun, "an event without an end");
@@ -212,7 +217,7 @@
                 if out.len() == before {
                     continue;
                 }
-                pace.event(core, ticket);
+                pace.event(core, request);
                 begun = true;
                 if client.send(&out).await.is_err() {
                     return Delivered::CallerGone;
--- a/crates/jb-relay/src/exchange/ask.rs
+++ b/crates/jb-relay/src/exchange/ask.rs
@@ -10,10 +10,10 @@
 use jb_policy::gate::{Estimate, Verdict};
 
 use super::place::{self, Among, Choice};
+use crate::admission::AdmittedRequest;
 use crate::core::Shared;
 use crate::peers::{self, Held, Prompt, Room, View};
 use crate::saturating_cast::saturating_cast;
-use crate::ticket::Ticket;
 use crate::upstream::{Instance, Wanted};
 
 /// Accounts that are asked for one prompt at the most: the prefix group's own engine first, the others
@@ -49,21 +49,21 @@
 /// Chooses the upstream of a prompt by the accounts of engines, where one answers.
 pub(super) async fn choose(
     core: &Shared,
-    ticket: &Ticket,
+    request: &AdmittedRequest,
     body: &Bytes,
     tried: &[Instance],
     among: Among,
 ) -> Option<Choice> {
-    let (last, shared) = ticket.prompt.split_last()?;
+    let (last, shared) = request.prompt.split_last()?;
     let ask = Ask {
         core,
-        wanted: place::wanted(core, ticket, body, tried, among),
+        wanted: place::wanted(core, request, body, tried, among),
         prompt: Prompt {
             shared,
-            own: last.tokens + ticket.out,
-            until: ticket.until,
+            own: last.tokens + request.out,
+            until: request.until,
         },
-        tuning: place::tuning(core, ticket),
+        tuning: place::tuning(core, request),
         place: peers::draw(core),
     };
     let family = ask.wanted.demand.family()?;
@@ -75,14 +75,14 @@
     let looked = if ask.shares_little() {
         ask.look_near(own).await
     } else {
-        ask.at_home(own, others, family, ticket.route.target).await
+        ask.at_home(own, others, family, request.route.target).await
     };
     let mut asked = match looked {
         Looked::Chosen(choice) => return Some(*choice),
         Looked::At(asked) => asked,
     };
     asked.retain(|asked| asked.view.open);
-    ask.compare(ticket, asked, tried.is_empty()).await
+    ask.compare(request, asked, tried.is_empty()).await
 }
 
 /// One search for an engine by accounts.
@@ -153,7 +153,7 @@
     }
 
     /// The best of the engines looked at, and whether the prompt goes there now.
-    async fn compare(&self, ticket: &Ticket, mut asked: Vec<Asked>, first: bool) -> Option<Choice> {
+    async fn compare(&self, request: &AdmittedRequest, mut asked: Vec<Asked>, first: bool) -> Option<Choice> {
         let most = asked.iter().map(|asked| asked.view.found).max()?;
         for asked in &mut asked {
             asked.candidate.elsewhere = asked.candidate.elsewhere.max(most);
@@ -168,7 +168,7 @@
         let mut best = asked.swap_remove(at);
         let estimate = self.estimate(&best);
         let verdict = if first {
-            place::judge(self.core, ticket, &estimate)
+            place::judge(self.core, request, &estimate)
         } else {
             Verdict::Send
         };
--- a/crates/jb-relay/src/exchange/isolation.rs
+++ b/crates/jb-relay/src/exchange/isolation.rs
@@ -94,8 +94,8 @@
             }
             (ledger.trials(now), ledger.ended(content))
         };
-        let ticket = self.message.ticket;
-        let wanted = place::wanted(core, ticket, self.message.body, &self.tried, Among::Sure);
+        let request = self.message.request;
+        let wanted = place::wanted(core, request, self.message.body, &self.tried, Among::Sure);
         let instances = |instance: &Instance| !ended.contains(&quarantine::engine(instance));
         let free = |instance: &Instance| !trials.contains(&quarantine::engine(instance));
         let instance = core.upstreams.borrow().quietest(&wanted, instances, free, now)?;
--- a/crates/jb-relay/src/exchange/judge.rs
+++ b/crates/jb-relay/src/exchange/judge.rs
@@ -23,7 +23,7 @@
             .borrow()
             .instance(instance)
             .map(|upstream| upstream.running);
-        emit!(core.logger, info, event::ATTEMPT_FAILED, "request" => &self.message.ticket.id,
+        emit!(core.logger, info, event::ATTEMPT_FAILED, "request" => &self.message.request.id,
             "upstream" => %instance, "outcome" => outcome, "why" => why,
             "content" => %self.content(), "running" => running);
         let loads = |upstream: &Upstream| core.now() < upstream.loading_until;
--- a/crates/jb-relay/src/exchange/pick.rs
+++ b/crates/jb-relay/src/exchange/pick.rs
@@ -31,13 +31,13 @@
     /// The upstream for the next send; waits a little when none is open, for a place in time at the
     /// first send, and where the request is a suspect for one that no other suspect has.
     pub(super) async fn pick(&mut self, client: &mut Connection) -> Option<Choice> {
-        let ticket = self.message.ticket;
+        let request = self.message.request;
         // A stream that goes on may pause for as long as its route allows.
         let until = match self.message.last_event {
-            Some(_) => self.core.now() + ticket.route.pause,
-            None => ticket.arrived + ticket.route.target.mul_f64(WAIT_SHARE),
+            Some(_) => self.core.now() + request.route.pause,
+            None => request.arrived + request.route.target.mul_f64(WAIT_SHARE),
         };
-        let suspect_until = (self.core.now() + SUSPECT_PATIENCE).min(ticket.until);
+        let suspect_until = (self.core.now() + SUSPECT_PATIENCE).min(request.until);
         loop {
             match self.pass(suspect_until) {
                 Pass::Freely => {}
@@ -51,7 +51,8 @@
                     return None;
                 }
             }
-            let pause = match place::choose_advised(self.core, ticket, self.message.body, &self.tried).await {
+            let pause = match place::choose_advised(self.core, request, self.message.body, &self.tried).await
+            {
                 Some(choice) if !self.tried.is_empty() => return Some(choice),
                 Some(choice) => match choice.verdict {
                     Verdict::Send => return Some(choice),
@@ -79,7 +80,7 @@
     /// Rejects a request whose upstreams all back off or are limited until after a moment, those that have
     /// rejected it included.
     fn reject_backing_off(&self, until: Moment) -> Option<Refused> {
-        let back = place::first_back(self.core, self.message.ticket, self.message.body)?;
+        let back = place::first_back(self.core, self.message.request, self.message.body)?;
         (back > until).then(|| Refused {
             why: "all_back_off",
             after: back.saturating_sub(self.core.now()),
--- a/crates/jb-relay/src/exchange/place.rs
+++ b/crates/jb-relay/src/exchange/place.rs
@@ -7,9 +7,9 @@
 use jb_policy::reach::Avoided;
 
 use super::ask::{self, Advice};
+use crate::admission::AdmittedRequest;
 use crate::core::{Core, Shared};
 use crate::peers;
-use crate::ticket::Ticket;
 use crate::upstream::{Instance, Wanted};
 
 /// Part of the bound on older weights after which nothing is sent to them.
@@ -54,35 +54,35 @@
 /// the same holds for an upstream whose entry is missing, and which may be gone.
 pub(super) async fn choose_advised(
     core: &Shared,
-    ticket: &Ticket,
+    request: &AdmittedRequest,
     body: &Bytes,
     tried: &[Instance],
 ) -> Option<Choice> {
     if avoided(core) != Avoided::None {
-        let reachable = advised(core, ticket, body, tried, Among::Reachable).await;
+        let reachable = advised(core, request, body, tried, Among::Reachable).await;
         if reachable.as_ref().is_some_and(Choice::has_place) {
             return reachable;
         }
     }
-    let sure = advised(core, ticket, body, tried, Among::Sure).await;
-    if sure.as_ref().is_some_and(Choice::has_place) || !has_last_resort(core, ticket) {
+    let sure = advised(core, request, body, tried, Among::Sure).await;
+    if sure.as_ref().is_some_and(Choice::has_place) || !has_last_resort(core, request) {
         return sure;
     }
-    advised(core, ticket, body, tried, Among::All).await.or(sure)
+    advised(core, request, body, tried, Among::All).await.or(sure)
 }
 
 async fn advised(
     core: &Shared,
-    ticket: &Ticket,
+    request: &AdmittedRequest,
     body: &Bytes,
     tried: &[Instance],
     among: Among,
 ) -> Option<Choice> {
-    let by_account = !ticket.prompt.is_empty() && !core.book.borrow().is_small();
-    if by_account && let Some(choice) = ask::choose(core, ticket, body, tried, among).await {
+    let by_account = !request.prompt.is_empty() && !core.book.borrow().is_small();
+    if by_account && let Some(choice) = ask::choose(core, request, body, tried, among).await {
         return Some(choice);
     }
-    choose(core, ticket, body, tried, among)
+    choose(core, request, body, tried, among)
 }
 
 /// Data halls that this box can't connect to.
@@ -95,16 +95,22 @@
     reach.avoided(core.now(), peers::is_hall_isolated(core))
 }
 
-fn has_last_resort(core: &Core, ticket: &Ticket) -> bool {
+fn has_last_resort(core: &Core, request: &AdmittedRequest) -> bool {
     let upstreams = core.upstreams.borrow();
-    upstreams.has_last_resort(&ticket.service, core.now())
+    upstreams.has_last_resort(&request.service, core.now())
 }
 
 /// The upstream that a request is sent to next, if one is open.
-fn choose(core: &Core, ticket: &Ticket, body: &Bytes, tried: &[Instance], among: Among) -> Option<Choice> {
-    let wanted = wanted(core, ticket, body, tried, among);
+fn choose(
+    core: &Core,
+    request: &AdmittedRequest,
+    body: &Bytes,
+    tried: &[Instance],
+    among: Among,
+) -> Option<Choice> {
+    let wanted = wanted(core, request, body, tried, among);
     let (ids, candidates) = core.upstreams.borrow().candidates(&wanted, core.now());
-    let tuning = tuning(core, ticket);
+    let tuning = tuning(core, request);
     let at = choose::best(&candidates, &wanted.demand, &tuning)?;
     let estimate = Estimate {
         first: choose::first_token(&candidates[at], &wanted.demand, &tuning),
@@ -114,7 +120,7 @@
         instance: ids[at].clone(),
         // In a large fleet loads that aren't from an account are 0.2 to 0.6 s old, too old to wait for.
         verdict: if core.book.borrow().is_small() {
-            judge(core, ticket, &estimate)
+            judge(core, request, &estimate)
         } else {
             Verdict::Send
         },
@@ -126,14 +132,14 @@
 }
 
 /// Weights of the choice, with what is known of the service's engines.
-pub(super) fn tuning(core: &Core, ticket: &Ticket) -> Tuning {
+pub(super) fn tuning(core: &Core, request: &AdmittedRequest) -> Tuning {
     let pace = core
         .paces
         .borrow()
-        .get(&ticket.service)
+        .get(&request.service)
         .copied()
         .unwrap_or_default();
-    let service = ticket.configuration.services.get(&ticket.service);
+    let service = request.configuration.services.get(&request.service);
     let moves = service.and_then(|service| service.move_per_k);
     Tuning {
         tokens_per_ms: pace.tokens_per_ms(),
@@ -143,17 +149,17 @@
 }
 
 /// Whether a request that nothing has been done for is sent now.
-pub(super) fn judge(core: &Core, ticket: &Ticket, estimate: &Estimate) -> Verdict {
-    if ticket.prompt.is_empty() {
+pub(super) fn judge(core: &Core, request: &AdmittedRequest, estimate: &Estimate) -> Verdict {
+    if request.prompt.is_empty() {
         return Verdict::Send;
     }
-    let left = ticket.until.saturating_sub(ticket.arrived);
-    let target = ticket.route.target.min(left);
-    let urgent = ticket
+    let left = request.until.saturating_sub(request.arrived);
+    let target = request.route.target.min(left);
+    let urgent = request
         .configuration
-        .urgent_target(&ticket.service, ticket.route.rank);
+        .urgent_target(&request.service, request.route.rank);
     let request = gate::Request {
-        waited: core.now().saturating_sub(ticket.arrived),
+        waited: core.now().saturating_sub(request.arrived),
         target,
         urgent: urgent.unwrap_or(target),
     };
@@ -162,33 +168,33 @@
 
 /// Whether another upstream takes a request whose upstream is silent: one is open, and the
 /// retry budget has granted the send.
-pub(super) fn goes_on(core: &Core, ticket: &Ticket, body: &Bytes, tried: &[Instance]) -> bool {
-    choose(core, ticket, body, tried, Among::All).is_some() && core.spend(&ticket.service)
+pub(super) fn goes_on(core: &Core, request: &AdmittedRequest, body: &Bytes, tried: &[Instance]) -> bool {
+    choose(core, request, body, tried, Among::All).is_some() && core.spend(&request.service)
 }
 
 /// When the first upstream is back, where all that a new try of the request could go to rest.
-pub(super) fn first_back(core: &Core, ticket: &Ticket, body: &Bytes) -> Option<Moment> {
-    let wanted = wanted(core, ticket, body, &[], Among::All);
+pub(super) fn first_back(core: &Core, request: &AdmittedRequest, body: &Bytes) -> Option<Moment> {
+    let wanted = wanted(core, request, body, &[], Among::All);
     core.upstreams.borrow().first_back(&wanted, core.now())
 }
 
 pub(super) fn wanted<'a>(
     core: &'a Core,
-    ticket: &'a Ticket,
+    request: &'a AdmittedRequest,
     body: &Bytes,
     tried: &'a [Instance],
     among: Among,
 ) -> Wanted<'a> {
-    let model = ticket.model.as_deref();
+    let model = request.model.as_deref();
     Wanted {
-        service: &ticket.service,
+        service: &request.service,
         model,
         weights: model
             .and_then(|model| core.weights.borrow().get(model).cloned())
             .unwrap_or_default(),
         time: core.settings.bounds.weights.mul_f64(WEIGHTS_SHARE),
         hall: &core.settings.hall,
-        demand: demand(ticket, body),
+        demand: demand(request, body),
         except: tried,
         last_resort: among == Among::All,
         avoided: match among {
@@ -199,9 +205,9 @@
 }
 
 /// What a request asks of an upstream.
-pub(super) fn demand<'a>(ticket: &'a Ticket, body: &Bytes) -> Demand<'a> {
+pub(super) fn demand<'a>(request: &'a AdmittedRequest, body: &Bytes) -> Demand<'a> {
     Demand {
-        prompt: &ticket.prompt,
+        prompt: &request.prompt,
         bytes: body.len(),
     }
 }
--- a/crates/jb-relay/src/exchange/prompt.rs
+++ b/crates/jb-relay/src/exchange/prompt.rs
@@ -20,23 +20,23 @@
 
 impl<'a> Exchange<'a> {
     fn demand(&self) -> Demand<'a> {
-        place::demand(self.message.ticket, self.message.body)
+        place::demand(self.message.request, self.message.body)
     }
 
     /// Settles where the engine takes parts from that it lacks, and whether it sends
     /// them to a store; returns the tokens that it must read itself.
     pub(super) fn place_prompt(&mut self, instance: &Instance, advice: Option<&Advice>) -> u64 {
-        let ticket = self.message.ticket;
+        let request = self.message.request;
         let core = self.core;
-        let Some((last, shared)) = ticket.prompt.split_last() else {
+        let Some((last, shared)) = request.prompt.split_last() else {
             return 0;
         };
         if let Some(advice) = advice {
             return self.place_advised(instance, last.tokens, advice);
         }
-        let wanted = place::wanted(core, ticket, self.message.body, &self.tried, Among::Sure);
+        let wanted = place::wanted(core, request, self.message.body, &self.tried, Among::Sure);
         let other = core.upstreams.borrow().source(instance, &wanted, core.now());
-        let Some((found, version)) = self.note_read(instance, shared, last.tokens + ticket.out) else {
+        let Some((found, version)) = self.note_read(instance, shared, last.tokens + request.out) else {
             return 0;
         };
         let engine = found + other.map_or(0, |source| source.tokens);
@@ -47,15 +47,15 @@
             Origin::Engine => other.map(|source| source.address),
             Origin::Store => self.read_from_store(shared, version),
         };
-        self.message.store = self.send_to_store(shared, version, last.tokens + ticket.out, holdings.store);
-        let unread = ticket
+        self.message.store = self.send_to_store(shared, version, last.tokens + request.out, holdings.store);
+        let unread = request
             .tokens()
             .saturating_sub(found + plan.tokens)
             .max(last.tokens);
         let upstreams = core.upstreams.borrow();
         let upstream = upstreams.instance(instance);
-        emit!(core.logger, info, event::REQUEST_PLACED, "request" => &ticket.id, "upstream" => %instance,
-            "tokens" => ticket.tokens(), "shared" => self.demand().shared(), "found" => found,
+        emit!(core.logger, info, event::REQUEST_PLACED, "request" => &request.id, "upstream" => %instance,
+            "tokens" => request.tokens(), "shared" => self.demand().shared(), "found" => found,
             "brought" => plan.tokens, "unread" => unread, "origin" => ?plan.origin,
             "from" => self.message.source.map(|from| from.to_string()), "to_store" => self.message.store.is_some(),
             "family" => self.demand().family(),
@@ -66,7 +66,7 @@
 
     /// The same by the engine's account.
     fn place_advised(&mut self, instance: &Instance, own: u64, advice: &Advice) -> u64 {
-        let ticket = self.message.ticket;
+        let request = self.message.request;
         let core = self.core;
         let shared = self.demand().shared();
         let store = {
@@ -88,12 +88,12 @@
             Origin::Store => store,
         };
         self.message.store = store.filter(|_| advice.send_to_store);
-        let unread = ticket
+        let unread = request
             .tokens()
             .saturating_sub(advice.found + plan.tokens)
             .max(own);
-        emit!(core.logger, info, event::REQUEST_PLACED, "request" => &ticket.id, "upstream" => %instance,
-            "tokens" => ticket.tokens(), "shared" => shared, "found" => advice.found,
+        emit!(core.logger, info, event::REQUEST_PLACED, "request" => &request.id, "upstream" => %instance,
+            "tokens" => request.tokens(), "shared" => shared, "found" => advice.found,
             "brought" => plan.tokens, "unread" => unread, "origin" => ?plan.origin, "stored" => advice.stored,
             "from" => self.message.source.map(|from| from.to_string()), "to_store" => self.message.store.is_some(),
             "family" => self.demand().family(), "running" => advice.load.running,
@@ -103,10 +103,10 @@
 
     /// Notes that an engine reads a prompt; returns the tokens that it had, and its weights.
     fn note_read(&self, instance: &Instance, shared: &[Segment], own: u64) -> Option<(u64, Option<Version>)> {
-        let ticket = self.message.ticket;
+        let request = self.message.request;
         let mut upstreams = self.core.upstreams.borrow_mut();
         let upstream = upstreams.instance_mut(instance)?;
-        let found = upstream.cache.found(&ticket.prompt);
+        let found = upstream.cache.found(&request.prompt);
         upstream.set_memory(self.memory());
         upstream.cache.read(shared.iter().copied(), own);
         let placed = Placed {
@@ -116,7 +116,7 @@
             own,
         };
         peers::note_use(self.core, placed);
-        let version = ticket.model.as_deref().and_then(|model| upstream.weights(model));
+        let version = request.model.as_deref().and_then(|model| upstream.weights(model));
         Some((found, version))
     }
 
@@ -179,11 +179,11 @@
 
     /// Tokens that an engine of the service holds.
     fn memory(&self) -> u64 {
-        let ticket = self.message.ticket;
-        ticket
+        let request = self.message.request;
+        request
             .configuration
             .services
-            .get(&ticket.service)
+            .get(&request.service)
             .map_or(0, |service| service.memory_tokens)
     }
 }
--- a/crates/jb-relay/src/exchange/run.rs
+++ b/crates/jb-relay/src/exchange/run.rs
@@ -14,6 +14,7 @@
 use super::isolation::CRASH_WINDOW;
 use super::pick::Refused;
 use super::place::{self, Choice};
+use crate::admission::AdmittedRequest;
 use crate::attempt::{self, Message, Outcome, Reply};
 use crate::configuration::Kind;
 use crate::core::Shared;
@@ -21,7 +22,6 @@
 use crate::http::{Connection, Query};
 use crate::peers::{self, Held, Permit};
 use crate::quarantine;
-use crate::ticket::Ticket;
 use crate::upstream::Instance;
 
 /// Sends of one request at most, with those that were turned away.
@@ -72,11 +72,11 @@
 
 impl<'a> Exchange<'a> {
     /// A request that nothing has been done for yet.
-    pub fn new(core: &'a Shared, query: &'a Query, body: &'a Bytes, ticket: &'a Ticket) -> Self {
+    pub fn new(core: &'a Shared, query: &'a Query, body: &'a Bytes, request: &'a AdmittedRequest) -> Self {
         let message = Message {
             query,
             body,
-            ticket,
+            request,
             last_event: None,
             source: None,
             store: None,
@@ -97,8 +97,8 @@
 
     /// Runs the request to its end. Everything but the answer itself is left to the caller.
     pub async fn run(&mut self, client: &mut Connection) -> Ending {
-        let ticket = self.message.ticket;
-        self.core.earn(&ticket.service);
+        let request = self.message.request;
+        self.core.earn(&request.service);
         let mut why = "no_upstream";
         loop {
             if self.left().is_zero() {
@@ -112,7 +112,7 @@
                 continue;
             };
             let paid = std::mem::take(&mut self.paid) || self.sends == 0;
-            if !paid && !self.core.spend(&ticket.service) {
+            if !paid && !self.core.spend(&request.service) {
                 return self.give_up("retry_budget");
             }
             match self.attempt(choice, permit, client).await {
@@ -123,14 +123,14 @@
             if self.tried.len() as u32 >= MOST_SENDS {
                 return self.give_up(why);
             }
-            if self.runs > 0 && (!ticket.route.repeatable() || self.runs >= ticket.route.attempts) {
+            if self.runs > 0 && (!request.route.repeatable() || self.runs >= request.route.attempts) {
                 return self.give_up(why);
             }
         }
     }
 
     fn left(&self) -> Duration {
-        self.message.ticket.until.saturating_sub(self.core.now())
+        self.message.request.until.saturating_sub(self.core.now())
     }
 
     /// Ending of a request that goes no further.
@@ -150,7 +150,7 @@
         client: &mut Connection,
     ) -> Result<Next, &'static str> {
         let core = self.core;
-        let ticket = self.message.ticket;
+        let request = self.message.request;
         let Choice {
             instance,
             advice,
@@ -160,7 +160,7 @@
         } = choice;
         let instance = &instance;
         let waiting = self.place_prompt(instance, advice.as_ref());
-        let last = !ticket.route.repeatable() || self.runs + 1 >= ticket.route.attempts;
+        let last = !request.route.repeatable() || self.runs + 1 >= request.route.attempts;
         let held = advice.map(|advice| advice.held);
         self.ending = held.as_ref().map(Held::ending);
         let mut counted = Counted::new(core, instance, waiting, last, held);
@@ -183,7 +183,7 @@
             Outcome::Withdrawn => Err("withdrawn"),
             Outcome::NotRun(status) => {
                 self.sends += 1;
-                emit!(core.logger, info, event::ATTEMPT_FAILED, "request" => &ticket.id,
+                emit!(core.logger, info, event::ATTEMPT_FAILED, "request" => &request.id,
                     "upstream" => %instance, "outcome" => "not_run", "status" => status);
                 Err("turned_away")
             }
@@ -211,10 +211,10 @@
     /// take it. Silence alone ends nothing: the answer may only be late.
     async fn patiently(&mut self, instance: &Instance, permit: Permit, first: Duration) -> Outcome {
         const SILENT: &str = "silent for longer than it should take";
-        let ticket = self.message.ticket;
-        let more = ticket.route.repeatable() && self.runs + 1 < ticket.route.attempts;
+        let request = self.message.request;
+        let more = request.route.repeatable() && self.runs + 1 < request.route.attempts;
         // Engines that have much to read are silent for as long.
-        let patience = ticket.route.patience().max(2 * first);
+        let patience = request.route.patience().max(2 * first);
         let sent = attempt::send(self.core, instance, &self.message, permit);
         tokio::pin!(sent);
         let mut blamed = false;
@@ -226,7 +226,7 @@
             if self.left().is_zero() {
                 return Outcome::Failed("the time is over".to_owned());
             }
-            if more && place::goes_on(self.core, ticket, self.message.body, &self.tried) {
+            if more && place::goes_on(self.core, request, self.message.body, &self.tried) {
                 self.paid = true;
                 return Outcome::Failed(SILENT.to_owned());
             }
@@ -245,7 +245,7 @@
         counted: &mut Counted<'_>,
     ) -> Result<Next, &'static str> {
         let core = self.core;
-        let ticket = self.message.ticket;
+        let request = self.message.request;
         let status = reply.answer.status;
         let success = (200..300).contains(&status);
         let signed = reply.answer.headers.get(core.names.signature).is_some();
@@ -257,26 +257,26 @@
             );
             return Err("spoiled");
         }
-        let again = status >= 500 && ticket.route.repeatable() && self.runs < ticket.route.attempts;
-        if again && self.core.spend(&ticket.service) {
+        let again = status >= 500 && request.route.repeatable() && self.runs < request.route.attempts;
+        if again && self.core.spend(&request.service) {
             // Without budget the caller gets the engine's failure instead.
             self.paid = true;
-            emit!(core.logger, info, event::ATTEMPT_FAILED, "request" => &ticket.id,
+            emit!(core.logger, info, event::ATTEMPT_FAILED, "request" => &request.id,
                 "upstream" => %instance, "outcome" => "ran", "status" => status);
             return Err("upstream_error");
         }
-        let delivered = if success && ticket.route.kind == Kind::Stream {
+        let delivered = if success && request.route.kind == Kind::Stream {
             let body = self.message.body;
-            let more = self.runs < ticket.route.attempts;
+            let more = self.runs < request.route.attempts;
             let elsewhere = || {
-                self.paid = more && place::goes_on(core, ticket, body, &self.tried);
+                self.paid = more && place::goes_on(core, request, body, &self.tried);
                 self.paid
             };
-            let started = || counted.first_token(&ticket.service);
+            let started = || counted.first_token(&request.service);
             let pace = &mut self.pace;
             deliver::stream(core, &mut self.message, reply, client, pace, started, elsewhere).await
         } else {
-            deliver::whole(core, ticket, reply, client).await
+            deliver::whole(core, request, reply, client).await
         };
         match delivered {
             Delivered::Complete => {
@@ -292,9 +292,9 @@
             }
             Delivered::Partly(why) => {
                 self.blame(instance, "ran_partly", why);
-                let more = ticket.route.resumable && self.runs < ticket.route.attempts;
+                let more = request.route.resumable && self.runs < request.route.attempts;
                 if more && self.message.last_event.is_some() {
-                    emit!(core.logger, info, event::STREAM_RESUMED, "request" => &ticket.id,
+                    emit!(core.logger, info, event::STREAM_RESUMED, "request" => &request.id,
                         "after" => self.message.last_event, "why" => why);
                     return Ok(Next::Again);
                 }
@@ -317,7 +317,7 @@
 
     /// Time of the request so far.
     pub fn took(&self) -> Moment {
-        self.core.now().saturating_sub(self.message.ticket.arrived)
+        self.core.now().saturating_sub(self.message.request.arrived)
     }
 
     /// Pace of the stream.
--- a/crates/jb-relay/src/front.rs
+++ b/crates/jb-relay/src/front.rs
@@ -8,13 +8,13 @@
 use tokio::time::{sleep, timeout};
 
 use crate::accept;
+use crate::admission::{self, AdmittedRequest, Refusal};
 use crate::configuration::Limits;
 use crate::core::Shared;
 use crate::exchange::{Ending, Exchange};
 use crate::http::{Body, Connection, Error, Framing, Query, write_answer};
 use crate::peers;
 use crate::stop;
-use crate::ticket::{self, Refusal, Ticket};
 
 /// Longest time for the body of one request.
 const BODY_TIME: Duration = Duration::from_secs(10);
@@ -182,39 +182,39 @@
     arrived: jb_policy::Moment,
 ) -> bool {
     started(core).await;
-    let ticket = match ticket::admit(core, query, arrived) {
+    let request = match admission::admit(core, query, arrived) {
         Ok(_) if too_late(core) => return turn_away(core, client, query, Refusal::NotReady).await,
-        Ok(ticket) => ticket,
+        Ok(request) => request,
         Err(refusal) => return turn_away(core, client, query, refusal).await,
     };
-    let charged = match peers::charge(core, &ticket).await {
+    let charged = match peers::charge(core, &request).await {
         Ok(charged) => charged,
-        Err(after) => return limited(core, client, &ticket, after).await,
+        Err(after) => return limited(core, client, &request, after).await,
     };
-    let mut exchange = Exchange::new(core, query, body, &ticket);
+    let mut exchange = Exchange::new(core, query, body, &request);
     let ending = exchange.run(client).await;
     if let Some(charged) = charged {
         charged.settle(exchange.may_have_run());
     }
     let begun = exchange.has_begun();
     let after = exchange.room_after().unwrap_or_default().max(COME_BACK);
-    report(core, &ticket, &exchange, ending);
+    report(core, &request, &exchange, ending);
     match ending {
         Ending::Answered(_) => true,
         Ending::CallerGone | Ending::Broken(_) => false,
-        Ending::NotRun(_) => final_answer(core, client, &ticket.id, 503, Some(after)).await,
+        Ending::NotRun(_) => final_answer(core, client, &request.id, 503, Some(after)).await,
         // The head is out already: only the missing end shows the caller that it is incomplete.
         Ending::Lost(_) | Ending::Late if begun => false,
-        Ending::Lost(_) => final_answer(core, client, &ticket.id, 502, None).await,
-        Ending::Late => final_answer(core, client, &ticket.id, 504, None).await,
+        Ending::Lost(_) => final_answer(core, client, &request.id, 502, None).await,
+        Ending::Late => final_answer(core, client, &request.id, 504, None).await,
     }
 }
 
 /// Refuses a request beyond its customer's limit.
-async fn limited(core: &Shared, client: &mut Connection, ticket: &Ticket, after: Duration) -> bool {
+async fn limited(core: &Shared, client: &mut Connection, request: &AdmittedRequest, after: Duration) -> bool {
     const STATUS: u16 = 429;
     core.metrics.ended("limited", STATUS);
-    final_answer(core, client, &ticket.id, STATUS, Some(after)).await
+    final_answer(core, client, &request.id, STATUS, Some(after)).await
 }
 
 async fn turn_away(core: &Shared, client: &mut Connection, query: &Query, refusal: Refusal) -> bool {
@@ -259,7 +259,7 @@
         && keep_alive
 }
 
-fn report(core: &Shared, ticket: &Ticket, exchange: &Exchange<'_>, ending: Ending) {
+fn report(core: &Shared, request: &AdmittedRequest, exchange: &Exchange<'_>, ending: Ending) {
     let (name, status, why) = match ending {
         Ending::Answered(status) => ("answered", status, ""),
         Ending::NotRun(why) => ("not_run", 503, why),
@@ -269,11 +269,11 @@
         Ending::CallerGone => ("caller_gone", 0, ""),
     };
     core.metrics.ended(name, status);
-    emit!(core.logger, info, event::REQUEST_ENDED, "request" => &ticket.id, "route" => &ticket.route.name,
-        "service" => &ticket.service, "ending" => name, "status" => status, "why" => why,
+    emit!(core.logger, info, event::REQUEST_ENDED, "request" => &request.id, "route" => &request.route.name,
+        "service" => &request.service, "ending" => name, "status" => status, "why" => why,
         "ms" => exchange.took().as_millis() as u64, "tried" => tried(exchange),
         "first_ms" => exchange.pace().first.map(|first| first.as_millis() as u64),
-        "pause_ms" => exchange.pace().pause.as_millis() as u64, "version" => ticket.configuration.version);
+        "pause_ms" => exchange.pace().pause.as_millis() as u64, "version" => request.configuration.version);
 }
 
 /// Ids of the upstreams that were tried, the first one first.
--- a/crates/jb-relay/src/lib.rs
+++ b/crates/jb-relay/src/lib.rs
@@ -5,6 +5,7 @@
 //! [`port`] and [`names`]; the decisions are in `jb-policy`.
 
 pub mod accept;
+pub mod admission;
 pub mod attempt;
 pub mod cache_scan;
 pub mod cache_store;
@@ -34,6 +35,5 @@
 pub mod signal;
 pub mod start;
 pub mod stop;
-pub mod ticket;
 pub mod unknown_signals;
 pub mod upstream;
--- a/crates/jb-relay/src/peers/quota.rs
+++ b/crates/jb-relay/src/peers/quota.rs
@@ -17,10 +17,10 @@
 use super::message::{Charge, Grant, Message};
 use super::owner::{self, Owner, Scope};
 use super::socket::try_send;
+use crate::admission::AdmittedRequest;
 use crate::configuration::{Quota, short_name};
 use crate::core::{Core, Shared};
 use crate::saturating_cast::saturating_cast;
-use crate::ticket::Ticket;
 
 /// Time in which an account answers: 0.2 to 2 ms on the way, the rest for a box whose part of a
 /// core is spent for the moment.
@@ -100,8 +100,11 @@
 ///
 /// # Errors
 /// The time after which the request would be let in.
-pub async fn charge<'a>(core: &'a Shared, ticket: &Ticket) -> Result<Option<Charged<'a>>, Duration> {
-    let Some((name, tokens)) = ticket.customer.as_deref().zip(ticket.counts) else {
+pub async fn charge<'a>(
+    core: &'a Shared,
+    request: &AdmittedRequest,
+) -> Result<Option<Charged<'a>>, Duration> {
+    let Some((name, tokens)) = request.customer.as_deref().zip(request.counts) else {
         return Ok(None);
     };
     let customer = short_name(name);
@@ -109,7 +112,7 @@
         nonce: core.quotas.inquiries.draw_nonce(),
         customer,
         tokens,
-        urgent: ticket.route.rank <= ticket.configuration.first_rank,
+        urgent: request.route.rank <= request.configuration.first_rank,
         again: false,
         uncharged: core.quotas.take_uncharged(customer),
         left: left(core, customer),
@@ -123,9 +126,12 @@
             tokens,
         }));
     };
-    let limit = ticket.configuration.quota(customer).map(|quota| quota.limit.rate);
+    let limit = request
+        .configuration
+        .quota(customer)
+        .map(|quota| quota.limit.rate);
     core.metrics.limited.inc();
-    emit!(core.logger, info, event::REQUEST_LIMITED, "request" => &ticket.id, "customer" => name,
+    emit!(core.logger, info, event::REQUEST_LIMITED, "request" => &request.id, "customer" => name,
         "tokens" => tokens, "limit_per_s" => limit, "left" => grant.left, "owner" => owner, "after_ms" => after);
     Err(Duration::from_millis(after.into()))
 }
