--- a/crates/jb-relay/src/leader/load.rs
+++ b/crates/jb-relay/src/leader/load.rs
@@ -12,7 +12,7 @@
 
 use super::term::{LOOK_INTERVAL, Leader};
 use crate::peers;
-use crate::port::{Order, Report, Taken};
+use crate::port::{Order, OrderOutcome, Report};
 use crate::restart;
 use crate::signal;
 use crate::upstream::{Instance, Upstream};
@@ -322,8 +322,8 @@
         emit!(core.logger, info, event::ORDER_GIVEN, "upstream" => %instance, "version" => version,
             "fence" => fence, "fixed" => self.fixed(instance), "answer" => ?taken);
         match taken {
-            Ok(Taken::Started) => sleep(LOAD_LEAST).await,
-            Ok(Taken::Refused(status)) => {
+            Ok(OrderOutcome::Started) => sleep(LOAD_LEAST).await,
+            Ok(OrderOutcome::Refused(status)) => {
                 if let Some(upstream) = core.upstreams.borrow_mut().instance_mut(instance) {
                     // Another incarnation has the address.
                     upstream.refused |= status == 421;
@@ -331,7 +331,7 @@
                 self.absent.borrow_mut().note(instance, core.now());
                 return false;
             }
-            Ok(Taken::Holds | Taken::Conflict) | Err(_) => sleep(LOOK_INTERVAL).await,
+            Ok(OrderOutcome::Holds | OrderOutcome::Conflict) | Err(_) => sleep(LOOK_INTERVAL).await,
         }
         true
     }
--- a/crates/jb-relay/src/port.rs
+++ b/crates/jb-relay/src/port.rs
@@ -303,7 +303,7 @@
 
 /// How an engine answered an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum OrderOutcome {
     /// It is being done.
     Started,
     /// It holds already.
@@ -347,5 +347,5 @@
     /// Asks for the engine's report.
     async fn report(&self, address: SocketAddr) -> Observed<Report>;
     /// Gives an order to an incarnation of an engine.
-    async fn order(&self, address: SocketAddr, incarnation: &str, order: &Order) -> Observed<Taken>;
+    async fn order(&self, address: SocketAddr, incarnation: &str, order: &Order) -> Observed<OrderOutcome>;
 }
