--- a/crates/jb-relay/src/follow/run.rs
+++ b/crates/jb-relay/src/follow/run.rs
@@ -19,7 +19,7 @@
 use super::start_up;
 use crate::core::{Core, Origin, Shared};
 use crate::peers;
-use crate::port::{Age, Change, News, Revision, StoreError};
+use crate::port::{Change, Consistency, News, Revision, StoreError};
 
 /// Pause between two calls: with the way there and back well under the time in which a
 /// configuration must be in force and a leaving upstream be known.
@@ -163,7 +163,11 @@
     let asked = core.now();
     core.metrics.store_calls.inc();
     // A stale reading may be older than the history that is left.
-    let age = if progress.gone { Age::Fresh } else { Age::Stale };
+    let age = if progress.gone {
+        Consistency::Fresh
+    } else {
+        Consistency::Stale
+    };
     // A store that has been lost is to say at once that it is back.
     let waits = !progress.unproven && progress.failing.is_none();
     let wait = if waits { PERIOD } else { Duration::ZERO };
@@ -171,7 +175,7 @@
         Some(after) => core.store.changes(after, wait).await,
         None => core.store.all(age).await,
     };
-    let stale = progress.after.is_none() && age == Age::Stale;
+    let stale = progress.after.is_none() && age == Consistency::Stale;
     match news {
         Ok(News { changes, revision }) => {
             found(core, progress);
--- a/crates/jb-relay/src/follow/start_up.rs
+++ b/crates/jb-relay/src/follow/start_up.rs
@@ -15,7 +15,7 @@
 use super::run::Update;
 use crate::core::{Core, Origin};
 use crate::peers::{self, Source, TransferError};
-use crate::port::{Age, Era, News, Page, Revision, StoreError};
+use crate::port::{Consistency, Era, News, Page, Revision, StoreError};
 
 /// Time in which boxes that start together register.
 const REGISTRATION_TIME: Duration = Duration::from_millis(700);
@@ -29,7 +29,7 @@
 /// Returns what the store holds; `None` when the box is to read the store itself.
 pub(super) async fn load(core: &Core) -> Option<Update> {
     core.metrics.store_calls.inc();
-    let first = core.store.page("", None, Age::Stale).await.ok()?;
+    let first = core.store.page("", None, Consistency::Stale).await.ok()?;
     let until = core.now() + PATIENCE;
     let has_boxes = first.changes.iter().any(|item| item.key.starts_with(peers::KEYS));
     if !has_boxes {
@@ -41,7 +41,11 @@
         return Some(from_store(first));
     }
     // Stale reads don't count for the rate of the store, but don't show boxes that start at the same time.
-    let age = if has_boxes { Age::Stale } else { Age::Fresh };
+    let age = if has_boxes {
+        Consistency::Stale
+    } else {
+        Consistency::Fresh
+    };
     from_boxes(core, first.revision.era, age, until).await
 }
 
@@ -55,7 +59,7 @@
     }
 }
 
-async fn from_boxes(core: &Core, era: Era, age: Age, until: Moment) -> Option<Update> {
+async fn from_boxes(core: &Core, era: Era, age: Consistency, until: Moment) -> Option<Update> {
     while let Err(why) = list(core, age).await {
         emit!(core.logger, info, event::STORE_UPDATE_FAILED, "why" => %why);
         if core.now() > until {
@@ -124,7 +128,7 @@
 }
 
 /// Reads the addresses of the other boxes.
-async fn list(core: &Core, age: Age) -> Result<(), StoreError> {
+async fn list(core: &Core, age: Consistency) -> Result<(), StoreError> {
     core.metrics.store_calls.inc();
     let News { changes, .. } = core.store.items(peers::KEYS, age).await?;
     let mut tally = Tally::default();
--- a/crates/jb-relay/src/port.rs
+++ b/crates/jb-relay/src/port.rs
@@ -199,7 +199,7 @@
 
 /// How old what is read may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Age {
+pub enum Consistency {
     /// As it stands now.
     Fresh,
     /// Some seconds old; costs a tenth and does not count for the store's rate.
@@ -217,17 +217,22 @@
     fn page_items(&self) -> usize;
     /// A page of the items whose keys begin with a prefix, as they are or, at less cost, were some seconds ago;
     /// the first one where `after` names no key.
-    async fn page(&self, prefix: &str, after: Option<&str>, age: Age) -> Result<Page, StoreError>;
+    async fn page(
+        &self,
+        prefix: &str,
+        after: Option<&str>,
+        consistency: Consistency,
+    ) -> Result<Page, StoreError>;
     /// All items whose keys begin with a prefix. Pages may be of different ages: the revision is that of the
     /// oldest, after which changes are asked for again. [`StoreError::Restored`] when they are of two eras.
-    async fn items(&self, prefix: &str, age: Age) -> Result<News, StoreError> {
+    async fn items(&self, prefix: &str, consistency: Consistency) -> Result<News, StoreError> {
         let Page {
             mut changes,
             mut revision,
             mut next,
-        } = self.page(prefix, None, age).await?;
+        } = self.page(prefix, None, consistency).await?;
         while let Some(after) = next {
-            let page = retry_page(self, prefix, &after, age).await?;
+            let page = retry_page(self, prefix, &after, consistency).await?;
             if page.revision.era != revision.era {
                 return Err(StoreError::Restored);
             }
@@ -238,8 +243,8 @@
         Ok(News { changes, revision })
     }
     /// All that it holds.
-    async fn all(&self, age: Age) -> Result<News, StoreError> {
-        self.items("", age).await
+    async fn all(&self, consistency: Consistency) -> Result<News, StoreError> {
+        self.items("", consistency).await
     }
     /// What has changed after a revision; waits up to `wait` for something.
     async fn changes(&self, after: Revision, wait: Duration) -> Result<News, StoreError>;
@@ -261,15 +266,15 @@
     store: &S,
     prefix: &str,
     after: &str,
-    age: Age,
+    consistency: Consistency,
 ) -> Result<Page, StoreError> {
     for _ in 1..PAGE_TRIES {
-        match store.page(prefix, Some(after), age).await {
+        match store.page(prefix, Some(after), consistency).await {
             Err(StoreError::Lost(_)) => {}
             page => return page,
         }
     }
-    store.page(prefix, Some(after), age).await
+    store.page(prefix, Some(after), consistency).await
 }
 
 /// What an engine reports of itself.
