--- a/crates/jb-relay/src/follow/run.rs
+++ b/crates/jb-relay/src/follow/run.rs
@@ -19,7 +19,7 @@
 use super::start_up;
 use crate::core::{Core, Origin, Shared};
 use crate::peers;
-use crate::port::{Change, Consistency, News, Revision, StoreError};
+use crate::port::{Change, ChangeBatch, Consistency, Revision, StoreError};
 
 /// Pause between two calls: with the way there and back well under the time in which a
 /// configuration must be in force and a leaving upstream be known.
@@ -177,7 +177,7 @@
     };
     let stale = progress.after.is_none() && age == Consistency::Stale;
     match news {
-        Ok(News { changes, revision }) => {
+        Ok(ChangeBatch { changes, revision }) => {
             found(core, progress);
             take(
                 core,
--- a/crates/jb-relay/src/follow/start_up.rs
+++ b/crates/jb-relay/src/follow/start_up.rs
@@ -15,7 +15,7 @@
 use super::run::Update;
 use crate::core::{Core, Origin};
 use crate::peers::{self, Source, TransferError};
-use crate::port::{Consistency, Era, News, Page, Revision, StoreError};
+use crate::port::{ChangeBatch, Consistency, Era, Page, Revision, StoreError};
 
 /// Time in which boxes that start together register.
 const REGISTRATION_TIME: Duration = Duration::from_millis(700);
@@ -130,7 +130,7 @@
 /// Reads the addresses of the other boxes.
 async fn list(core: &Core, age: Consistency) -> Result<(), StoreError> {
     core.metrics.store_calls.inc();
-    let News { changes, .. } = core.store.items(peers::KEYS, age).await?;
+    let ChangeBatch { changes, .. } = core.store.items(peers::KEYS, age).await?;
     let mut tally = Tally::default();
     for change in changes {
         apply(core, core.store.decode(&change), change.revision, &mut tally);
--- a/crates/jb-relay/src/port.rs
+++ b/crates/jb-relay/src/port.rs
@@ -140,7 +140,7 @@
 
 /// What has changed in the store, or all that it holds.
 #[derive(Debug)]
-pub struct News {
+pub struct ChangeBatch {
     /// Changes, the older first.
     pub changes: Vec<Change>,
     /// Revision after which to ask next.
@@ -225,7 +225,7 @@
     ) -> Result<Page, StoreError>;
     /// All items whose keys begin with a prefix. Pages may be of different ages: the revision is that of the
     /// oldest, after which changes are asked for again. [`StoreError::Restored`] when they are of two eras.
-    async fn items(&self, prefix: &str, consistency: Consistency) -> Result<News, StoreError> {
+    async fn items(&self, prefix: &str, consistency: Consistency) -> Result<ChangeBatch, StoreError> {
         let Page {
             mut changes,
             mut revision,
@@ -240,14 +240,14 @@
             revision = revision.min(page.revision);
             next = page.next;
         }
-        Ok(News { changes, revision })
+        Ok(ChangeBatch { changes, revision })
     }
     /// All that it holds.
-    async fn all(&self, consistency: Consistency) -> Result<News, StoreError> {
+    async fn all(&self, consistency: Consistency) -> Result<ChangeBatch, StoreError> {
         self.items("", consistency).await
     }
     /// What has changed after a revision; waits up to `wait` for something.
-    async fn changes(&self, after: Revision, wait: Duration) -> Result<News, StoreError>;
+    async fn changes(&self, after: Revision, wait: Duration) -> Result<ChangeBatch, StoreError>;
     /// Takes out a lease.
     async fn lease(&self, time: Duration) -> Result<Lease, StoreError>;
     /// Renews a lease; [`StoreError::NoLease`] also when the store has been restored since.
