--- a/crates/jb-relay/src/port.rs
+++ b/crates/jb-relay/src/port.rs
@@ -87,7 +87,7 @@
     /// Time for which it is slow after its start.
     pub cold: Duration,
     /// Models with the version of their weights.
-    pub models: Vec<Loaded>,
+    pub models: Vec<LoadedModel>,
 }
 
 impl Entry {
@@ -100,7 +100,7 @@
 
 /// A model as an engine has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Loaded {
+pub struct LoadedModel {
     /// Model.
     pub model: String,
     /// Version of its weights.
@@ -115,7 +115,7 @@
     /// Word of an upstream, by its id.
     Upstream(String, Registration),
     /// The newest version of a model's weights.
-    Weights(Loaded),
+    Weights(LoadedModel),
     /// An item of the boxes themselves.
     Own(Change),
     /// A value that could not be read; the one before stays in force.
@@ -283,7 +283,7 @@
     /// When the engine started, if that is known.
     pub started_at: Option<StartTime>,
     /// Models with the version of their weights.
-    pub models: Vec<Loaded>,
+    pub models: Vec<LoadedModel>,
     /// Whether an order is under way.
     pub busy: bool,
     /// Orders taken since its start.
