--- a/crates/jb-relay/src/follow/facts.rs
+++ b/crates/jb-relay/src/follow/facts.rs
@@ -7,7 +7,7 @@
 use crate::configuration::Configuration;
 use crate::core::Core;
 use crate::peers;
-use crate::port::{Change, Fact, Registration, Revision};
+use crate::port::{Change, DecodedItem, Registration, Revision};
 use crate::restart;
 use crate::settled;
 use crate::upstream::{Ended, Seen, Upstream};
@@ -58,11 +58,13 @@
 }
 
 /// Puts one fact in force.
-pub(super) fn apply(core: &Core, fact: Fact, revision: Revision, tally: &mut Tally) {
+pub(super) fn apply(core: &Core, fact: DecodedItem, revision: Revision, tally: &mut Tally) {
     match fact {
-        Fact::Configuration(configuration) => put_rules(core, *configuration),
-        Fact::Upstream(id, registration) => apply_registration(core, &id, registration, revision, tally),
-        Fact::Weights(named) => {
+        DecodedItem::Configuration(configuration) => put_rules(core, *configuration),
+        DecodedItem::Upstream(id, registration) => {
+            apply_registration(core, &id, registration, revision, tally)
+        }
+        DecodedItem::Weights(named) => {
             // The release may have been at any time since the last update.
             let earliest = core.proven.get();
             let mut weights = core.weights.borrow_mut();
@@ -71,8 +73,8 @@
                 emit!(core.logger, info, event::WEIGHTS_RELEASED, "model" => named.model, "version" => named.version);
             }
         }
-        Fact::Own(item) => own(core, item),
-        Fact::Unreadable { key, why } => {
+        DecodedItem::BoxItem(item) => own(core, item),
+        DecodedItem::Unreadable { key, why } => {
             emit!(core.logger, error, event::STORE_UNREADABLE, "key" => key, "why" => why);
         }
     }
--- a/crates/jb-relay/src/port.rs
+++ b/crates/jb-relay/src/port.rs
@@ -109,7 +109,7 @@
 
 /// One thing that the store holds.
 #[derive(Clone, Debug)]
-pub enum Fact {
+pub enum DecodedItem {
     /// The configuration.
     Configuration(Box<Configuration>),
     /// Word of an upstream, by its id.
@@ -117,7 +117,7 @@
     /// The newest version of a model's weights.
     Weights(LoadedModel),
     /// An item of the boxes themselves.
-    Own(Change),
+    BoxItem(Change),
     /// A value that could not be read; the one before stays in force.
     Unreadable {
         /// Key.
@@ -210,7 +210,7 @@
 #[async_trait(?Send)]
 pub trait Store {
     /// Content of a change.
-    fn decode(&self, change: &Change) -> Fact;
+    fn decode(&self, change: &Change) -> DecodedItem;
     /// Id of the upstream whose entry has changed, if it is one's.
     fn upstream<'a>(&self, change: &'a Change) -> Option<&'a str>;
     /// Items of a page, at the most.
