--- a/crates/jb-relay/src/admission.rs
+++ b/crates/jb-relay/src/admission.rs
@@ -8,7 +8,7 @@
 use jb_policy::prefix_cache::Segment;
 use jb_protocol::id;
 
-use crate::configuration::{Configuration, Route, Unit};
+use crate::configuration::{Configuration, QuotaUnit, Route};
 use crate::core::Core;
 use crate::http::Query;
 use crate::salt;
@@ -120,7 +120,7 @@
         .ok_or(missing(Refusal::NoRoute))?
         .clone();
     let mut customer = None;
-    if !route.public && configuration.wants_keys() {
+    if !route.public && configuration.requires_keys() {
         let oldest = core.settings.bounds.revoke.mul_f64(REVOKE_SHARE);
         if core.settings.bounds.strict_revoke && core.key_age().is_none_or(|age| age > oldest) {
             return Err(Refusal::Stale);
@@ -132,21 +132,24 @@
             .unwrap_or_default();
         customer = Some(
             configuration
-                .customer(key)
+                .customer_by_key(key)
                 .ok_or(missing(Refusal::NoKey))?
                 .clone(),
         );
     }
 
     let service = route
-        .service(place::name_hash(id))
+        .pick_service(place::name_hash(id))
         .cloned()
         .ok_or(Refusal::NoService)?;
     let salt = match &customer {
-        Some(customer) if customer.isolated => format!("of {}", customer.name),
+        Some(customer) if customer.has_isolated_cache => format!("of {}", customer.name),
         _ => SHARED_SALT.to_owned(),
     };
-    let rank = customer.as_ref().and_then(|c| c.rank).unwrap_or(route.rank);
+    let rank = customer
+        .as_ref()
+        .and_then(|c| c.priority)
+        .unwrap_or(route.priority);
     let wait = query.headers.number(names.deadline).map(Duration::from_millis);
     let deadline = arrived + wait.unwrap_or(route.timeout);
     let until = deadline.min(arrived + route.timeout);
@@ -156,8 +159,8 @@
     let out = size.map_or(DEFAULT_OUT, |(_, out)| out);
     let quota = customer.as_ref().and_then(|customer| customer.quota);
     let counts = quota.map(|quota| match quota.unit {
-        Unit::Requests => 1,
-        Unit::Tokens { plain } => size.map_or(plain, |(read, made)| read.saturating_add(made)),
+        QuotaUnit::Requests => 1,
+        QuotaUnit::Tokens { default } => size.map_or(default, |(read, made)| read.saturating_add(made)),
     });
     Ok(AdmittedRequest {
         id: id.to_owned(),
--- a/crates/jb-relay/src/attempt.rs
+++ b/crates/jb-relay/src/attempt.rs
@@ -90,7 +90,7 @@
     let Some(entry) = entry else {
         return Outcome::Unsent("the upstream has gone".to_owned());
     };
-    let once = !message.request.route.repeatable();
+    let once = !message.request.route.is_retryable();
     let mut link = match link::take(core, instance, once).await {
         Ok(link) => link,
         Err(why) => {
--- a/crates/jb-relay/src/cache_store.rs
+++ b/crates/jb-relay/src/cache_store.rs
@@ -64,7 +64,7 @@
         for config in configs {
             if !self.0.iter().any(|store| store.address == config.address) {
                 let mut cache = PrefixCache::default();
-                cache.set_capacity(config.tokens);
+                cache.set_capacity(config.capacity_tokens);
                 let name = place::name_hash(&config.address.to_string());
                 self.0.push(CacheStore {
                     address: config.address,
--- a/crates/jb-relay/src/configuration.rs
+++ b/crates/jb-relay/src/configuration.rs
@@ -10,7 +10,7 @@
 
 /// What may be done again with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Kind {
+pub enum RouteKind {
     /// May run more than once.
     Idempotent,
     /// Runs at most once.
@@ -34,21 +34,21 @@
     /// Host that it serves.
     pub host: String,
     /// Beginning of the paths that it serves; begins and ends with a slash.
-    pub prefix: String,
+    pub path_prefix: String,
     /// What may be done again.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// Longest time that a request is held.
     pub timeout: Duration,
     /// Time in which an answer, or a stream's first event, is wanted.
-    pub target: Duration,
+    pub target_latency: Duration,
     /// Longest pause between a stream's events that is still in time.
-    pub pause: Duration,
+    pub max_event_gap: Duration,
     /// Rank; 0 is the most urgent.
-    pub rank: u8,
+    pub priority: u8,
     /// Services with their weights.
-    pub services: Vec<Share>,
+    pub services: Vec<WeightedService>,
     /// Upstreams that one request may be sent to.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether it is open without a key.
     pub public: bool,
     /// Whether a stream may go on at another engine.
@@ -57,26 +57,26 @@
 
 impl Route {
     /// Whether a request that may have run may be sent again.
-    pub fn repeatable(&self) -> bool {
+    pub fn is_retryable(&self) -> bool {
         match self.kind {
-            Kind::Idempotent => true,
-            Kind::Once => false,
-            Kind::Stream => self.resumable,
+            RouteKind::Idempotent => true,
+            RouteKind::Once => false,
+            RouteKind::Stream => self.resumable,
         }
     }
 
     /// Silence of an upstream before its answer after which the request may go elsewhere.
-    pub fn patience(&self) -> Duration {
-        self.target.mul_f64(PATIENCE).max(LEAST_SILENCE)
+    pub fn response_stall_timeout(&self) -> Duration {
+        self.target_latency.mul_f64(PATIENCE).max(LEAST_SILENCE)
     }
 
     /// Silence within a stream after which it may go on elsewhere.
-    pub fn silence(&self) -> Duration {
-        self.pause.mul_f64(SILENCE).max(LEAST_SILENCE)
+    pub fn stream_stall_timeout(&self) -> Duration {
+        self.max_event_gap.mul_f64(SILENCE).max(LEAST_SILENCE)
     }
 
     /// Service for a request; `draw` is any number, the same for the same request.
-    pub fn service(&self, draw: u64) -> Option<&id::Service> {
+    pub fn pick_service(&self, draw: u64) -> Option<&id::Service> {
         let sum: u64 = self.services.iter().map(|s| u64::from(s.weight)).sum();
         let mut at = draw.checked_rem(sum)?;
         for share in &self.services {
@@ -92,7 +92,7 @@
 
 /// Share of a route's requests that goes to one service.
 #[derive(Clone, Debug)]
-pub struct Share {
+pub struct WeightedService {
     /// Service.
     pub service: id::Service,
     /// Weight among the shares of the route.
@@ -103,9 +103,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Service {
     /// Tokens that the memory of one of its engines holds; 0 for plain services.
-    pub memory_tokens: u64,
+    pub kv_capacity_tokens: u64,
     /// Time in which a link moves a thousand tokens; `None` where it is not known.
-    pub move_per_k: Option<Duration>,
+    pub transfer_time_per_k_tokens: Option<Duration>,
 }
 
 /// A shared store of KV cache.
@@ -114,7 +114,7 @@
     /// Address.
     pub address: SocketAddr,
     /// Tokens that it holds.
-    pub tokens: u64,
+    pub capacity_tokens: u64,
 }
 
 /// One customer.
@@ -123,22 +123,22 @@
     /// Name.
     pub name: id::Customer,
     /// Rank that goes before the route's.
-    pub rank: Option<u8>,
+    pub priority: Option<u8>,
     /// Whether it shares no cache with other customers.
-    pub isolated: bool,
+    pub has_isolated_cache: bool,
     /// Limit of all its requests together.
     pub quota: Option<Quota>,
 }
 
 /// What a customer's limit counts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Unit {
+pub enum QuotaUnit {
     /// Each request once.
     Requests,
     /// Tokens in and out; requests that name none count for `plain` of them.
     Tokens {
         /// Tokens of a request that names none.
-        plain: u64,
+        default: u64,
     },
 }
 
@@ -148,7 +148,7 @@
     /// Limit.
     pub limit: Limit,
     /// What it counts.
-    pub unit: Unit,
+    pub unit: QuotaUnit,
 }
 
 /// Lower half of the hash of a customer's name, under which boxes speak of it.
@@ -158,24 +158,24 @@
 
 /// What callers may send, and how slowly.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct CallerLimits {
     /// Longest head, in bytes.
-    pub head: usize,
+    pub max_head_bytes: usize,
     /// Longest body, in bytes.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// Longest time for a head.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Longest rest of a connection.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
-impl Default for Limits {
+impl Default for CallerLimits {
     fn default() -> Self {
         Self {
-            head: 16 << 10,
-            body: 4 << 20,
-            head_time: Duration::from_secs(3),
-            idle: Duration::from_secs(15),
+            max_head_bytes: 16 << 10,
+            max_body_bytes: 4 << 20,
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
@@ -198,9 +198,9 @@
     /// Position of each customer by its short name.
     short: HashMap<u32, usize>,
     /// Limits for callers.
-    pub limits: Limits,
+    pub limits: CallerLimits,
     /// Rank of the most urgent routes.
-    pub first_rank: u8,
+    pub top_priority: u8,
 }
 
 impl Configuration {
@@ -210,7 +210,7 @@
             version,
             ..Self::default()
         };
-        configuration.first_rank = routes.iter().map(|route| route.rank).min().unwrap_or(0);
+        configuration.top_priority = routes.iter().map(|route| route.priority).min().unwrap_or(0);
         for route in routes {
             configuration
                 .hosts
@@ -219,7 +219,7 @@
                 .push(route);
         }
         for routes in configuration.hosts.values_mut() {
-            routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
+            routes.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
         }
         for (customer, keys) in customers {
             let position = configuration.customers.len();
@@ -239,34 +239,34 @@
             .map_or(host, |(name, _)| name)
             .to_ascii_lowercase();
         let routes = self.hosts.get(&name)?;
-        routes.iter().find(|route| path.starts_with(&route.prefix))
+        routes.iter().find(|route| path.starts_with(&route.path_prefix))
     }
 
     /// The least time that a stream route of a service wants, among those of a rank and above.
-    pub fn urgent_target(&self, service: &str, rank: u8) -> Option<Duration> {
+    pub fn min_target_latency(&self, service: &str, rank: u8) -> Option<Duration> {
         let routes = self.hosts.values().flatten();
-        let streams = routes.filter(|route| route.kind == Kind::Stream && route.rank <= rank);
+        let streams = routes.filter(|route| route.kind == RouteKind::Stream && route.priority <= rank);
         let same = streams.filter(|route| route.services.iter().any(|share| share.service == service));
-        same.map(|route| route.target).min()
+        same.map(|route| route.target_latency).min()
     }
 
     /// The customer that holds a key.
-    pub fn customer(&self, key: &str) -> Option<&Customer> {
+    pub fn customer_by_key(&self, key: &str) -> Option<&Customer> {
         self.customers.get(*self.keys.get(key)?)
     }
 
     /// The limit of a customer by its short name.
-    pub fn quota(&self, short: u32) -> Option<Quota> {
+    pub fn customer_quota(&self, short: u32) -> Option<Quota> {
         self.customers.get(*self.short.get(&short)?)?.quota
     }
 
     /// Whether requests need a key at all.
-    pub fn wants_keys(&self) -> bool {
+    pub fn requires_keys(&self) -> bool {
         !self.customers.is_empty()
     }
 
     /// Number of routes.
-    pub fn routes(&self) -> usize {
+    pub fn route_count(&self) -> usize {
         self.hosts.values().map(Vec::len).sum()
     }
 }
--- a/crates/jb-relay/src/deliver.rs
+++ b/crates/jb-relay/src/deliver.rs
@@ -195,7 +195,10 @@
         None => head(core, &reply.answer, Framing::Chunked),
     };
     let mut begun = message.last_event.is_some();
-    let silence = request.route.resumable.then(|| request.route.silence());
+    let silence = request
+        .route
+        .resumable
+        .then(|| request.route.stream_stall_timeout());
     loop {
         let left = request.until.saturating_sub(core.now());
         let patience = if begun { silence } else { None };
--- a/crates/jb-relay/src/exchange/ask.rs
+++ b/crates/jb-relay/src/exchange/ask.rs
@@ -75,7 +75,8 @@
     let looked = if ask.shares_little() {
         ask.look_near(own).await
     } else {
-        ask.at_home(own, others, family, request.route.target).await
+        ask.at_home(own, others, family, request.route.target_latency)
+            .await
     };
     let mut asked = match looked {
         Looked::Chosen(choice) => return Some(*choice),
--- a/crates/jb-relay/src/exchange/pick.rs
+++ b/crates/jb-relay/src/exchange/pick.rs
@@ -34,8 +34,8 @@
         let request = self.message.request;
         // A stream that goes on may pause for as long as its route allows.
         let until = match self.message.last_event {
-            Some(_) => self.core.now() + request.route.pause,
-            None => request.arrived + request.route.target.mul_f64(WAIT_SHARE),
+            Some(_) => self.core.now() + request.route.max_event_gap,
+            None => request.arrived + request.route.target_latency.mul_f64(WAIT_SHARE),
         };
         let suspect_until = (self.core.now() + SUSPECT_PATIENCE).min(request.until);
         loop {
--- a/crates/jb-relay/src/exchange/place.rs
+++ b/crates/jb-relay/src/exchange/place.rs
@@ -140,7 +140,7 @@
         .copied()
         .unwrap_or_default();
     let service = request.configuration.services.get(&request.service);
-    let moves = service.and_then(|service| service.move_per_k);
+    let moves = service.and_then(|service| service.transfer_time_per_k_tokens);
     Tuning {
         tokens_per_ms: pace.tokens_per_ms(),
         move_per_k: moves.map_or(core.tuning.move_per_k, |time| time.as_secs_f64() * 1000.0),
@@ -154,10 +154,10 @@
         return Verdict::Send;
     }
     let left = request.until.saturating_sub(request.arrived);
-    let target = request.route.target.min(left);
+    let target = request.route.target_latency.min(left);
     let urgent = request
         .configuration
-        .urgent_target(&request.service, request.route.rank);
+        .min_target_latency(&request.service, request.route.priority);
     let request = gate::Request {
         waited: core.now().saturating_sub(request.arrived),
         target,
--- a/crates/jb-relay/src/exchange/prompt.rs
+++ b/crates/jb-relay/src/exchange/prompt.rs
@@ -184,6 +184,6 @@
             .configuration
             .services
             .get(&request.service)
-            .map_or(0, |service| service.memory_tokens)
+            .map_or(0, |service| service.kv_capacity_tokens)
     }
 }
--- a/crates/jb-relay/src/exchange/run.rs
+++ b/crates/jb-relay/src/exchange/run.rs
@@ -16,7 +16,7 @@
 use super::place::{self, Choice};
 use crate::admission::AdmittedRequest;
 use crate::attempt::{self, Message, Outcome, Reply};
-use crate::configuration::Kind;
+use crate::configuration::RouteKind;
 use crate::core::Shared;
 use crate::deliver::{self, Delivered, Pace};
 use crate::http::{Connection, Query};
@@ -123,7 +123,7 @@
             if self.tried.len() as u32 >= MOST_SENDS {
                 return self.give_up(why);
             }
-            if self.runs > 0 && (!request.route.repeatable() || self.runs >= request.route.attempts) {
+            if self.runs > 0 && (!request.route.is_retryable() || self.runs >= request.route.max_attempts) {
                 return self.give_up(why);
             }
         }
@@ -160,7 +160,7 @@
         } = choice;
         let instance = &instance;
         let waiting = self.place_prompt(instance, advice.as_ref());
-        let last = !request.route.repeatable() || self.runs + 1 >= request.route.attempts;
+        let last = !request.route.is_retryable() || self.runs + 1 >= request.route.max_attempts;
         let held = advice.map(|advice| advice.held);
         self.ending = held.as_ref().map(Held::ending);
         let mut counted = Counted::new(core, instance, waiting, last, held);
@@ -212,9 +212,9 @@
     async fn patiently(&mut self, instance: &Instance, permit: Permit, first: Duration) -> Outcome {
         const SILENT: &str = "silent for longer than it should take";
         let request = self.message.request;
-        let more = request.route.repeatable() && self.runs + 1 < request.route.attempts;
+        let more = request.route.is_retryable() && self.runs + 1 < request.route.max_attempts;
         // Engines that have much to read are silent for as long.
-        let patience = request.route.patience().max(2 * first);
+        let patience = request.route.response_stall_timeout().max(2 * first);
         let sent = attempt::send(self.core, instance, &self.message, permit);
         tokio::pin!(sent);
         let mut blamed = false;
@@ -257,7 +257,7 @@
             );
             return Err("spoiled");
         }
-        let again = status >= 500 && request.route.repeatable() && self.runs < request.route.attempts;
+        let again = status >= 500 && request.route.is_retryable() && self.runs < request.route.max_attempts;
         if again && self.core.spend(&request.service) {
             // Without budget the caller gets the engine's failure instead.
             self.paid = true;
@@ -265,9 +265,9 @@
                 "upstream" => %instance, "outcome" => "ran", "status" => status);
             return Err("upstream_error");
         }
-        let delivered = if success && request.route.kind == Kind::Stream {
+        let delivered = if success && request.route.kind == RouteKind::Stream {
             let body = self.message.body;
-            let more = self.runs < request.route.attempts;
+            let more = self.runs < request.route.max_attempts;
             let elsewhere = || {
                 self.paid = more && place::goes_on(core, request, body, &self.tried);
                 self.paid
@@ -292,7 +292,7 @@
             }
             Delivered::Partly(why) => {
                 self.blame(instance, "ran_partly", why);
-                let more = request.route.resumable && self.runs < request.route.attempts;
+                let more = request.route.resumable && self.runs < request.route.max_attempts;
                 if more && self.message.last_event.is_some() {
                     emit!(core.logger, info, event::STREAM_RESUMED, "request" => &request.id,
                         "after" => self.message.last_event, "why" => why);
--- a/crates/jb-relay/src/follow/facts.rs
+++ b/crates/jb-relay/src/follow/facts.rs
@@ -88,7 +88,7 @@
         return;
     }
     emit!(core.logger, info, event::RULES_IN_FORCE, "version" => configuration.version, "before" => known,
-        "routes" => configuration.routes());
+        "routes" => configuration.route_count());
     core.cache_stores
         .borrow_mut()
         .configure(&configuration.cache_stores);
--- a/crates/jb-relay/src/front.rs
+++ b/crates/jb-relay/src/front.rs
@@ -9,7 +9,7 @@
 
 use crate::accept;
 use crate::admission::{self, AdmittedRequest, Refusal};
-use crate::configuration::Limits;
+use crate::configuration::CallerLimits;
 use crate::core::Shared;
 use crate::exchange::{Ending, Exchange};
 use crate::http::{Body, Connection, Error, Framing, Query, write_answer};
@@ -66,7 +66,7 @@
     if client.buffer.is_empty() && !rested(core, client, &limits).await {
         return false;
     }
-    let query = match timeout(limits.head_time, client.query(limits.head)).await {
+    let query = match timeout(limits.head_timeout, client.query(limits.max_head_bytes)).await {
         Ok(Ok(query)) => query,
         Ok(Err(why)) => return refuse_head(core, client, &why).await,
         Err(_) => return refuse(core, client, 408, "slow_head").await,
@@ -85,10 +85,10 @@
 }
 
 /// Waits for the first byte of a request.
-async fn rested(core: &Shared, client: &mut Connection, limits: &Limits) -> bool {
+async fn rested(core: &Shared, client: &mut Connection, limits: &CallerLimits) -> bool {
     tokio::select! {
         filled = client.fill() => matches!(filled, Ok(read) if read > 0),
-        () = sleep(limits.idle) => false,
+        () = sleep(limits.idle_timeout) => false,
         () = stopped(core) => false,
     }
 }
@@ -106,12 +106,12 @@
     core: &Shared,
     client: &mut Connection,
     query: &Query,
-    limits: &Limits,
+    limits: &CallerLimits,
 ) -> Result<Bytes, Option<u16>> {
     let room = (core.settings.capacity.memory / BODY_SHARE).saturating_sub(core.held.get());
-    let most = limits.body.min(room);
+    let most = limits.max_body_bytes.min(room);
     if let Framing::Length(length) = query.framing {
-        if length > limits.body as u64 {
+        if length > limits.max_body_bytes as u64 {
             return Err(Some(413));
         }
         if length > most as u64 {
@@ -126,7 +126,7 @@
     }
     match timeout(BODY_TIME, client.whole(Body::new(query.framing), most)).await {
         Ok(Ok(body)) => Ok(body),
-        Ok(Err(Error::BodyTooLong(_))) if most < limits.body => Err(Some(503)),
+        Ok(Err(Error::BodyTooLong(_))) if most < limits.max_body_bytes => Err(Some(503)),
         Ok(Err(Error::BodyTooLong(_))) => Err(Some(413)),
         Ok(Err(Error::Malformed(_))) => Err(Some(400)),
         Ok(Err(_)) => Err(None),
--- a/crates/jb-relay/src/peers/account.rs
+++ b/crates/jb-relay/src/peers/account.rs
@@ -260,7 +260,7 @@
     let now = core.now();
     let memory = |service: &str| {
         let configuration = core.configuration()?;
-        Some(configuration.services.get(service)?.memory_tokens)
+        Some(configuration.services.get(service)?.kv_capacity_tokens)
     };
     let mut upstreams = core.upstreams.borrow_mut();
     let upstream = upstreams.by_short_name_mut(question.engine)?;
--- a/crates/jb-relay/src/peers/quota.rs
+++ b/crates/jb-relay/src/peers/quota.rs
@@ -112,7 +112,7 @@
         nonce: core.quotas.inquiries.draw_nonce(),
         customer,
         tokens,
-        urgent: request.route.rank <= request.configuration.first_rank,
+        urgent: request.route.priority <= request.configuration.top_priority,
         again: false,
         uncharged: core.quotas.take_uncharged(customer),
         left: left(core, customer),
@@ -128,7 +128,7 @@
     };
     let limit = request
         .configuration
-        .quota(customer)
+        .customer_quota(customer)
         .map(|quota| quota.limit.rate);
     core.metrics.limited.inc();
     emit!(core.logger, info, event::REQUEST_LIMITED, "request" => &request.id, "customer" => name,
@@ -199,7 +199,7 @@
     let now = core.now();
     let quota = core
         .configuration()
-        .and_then(|configuration| configuration.quota(charge.customer));
+        .and_then(|configuration| configuration.customer_quota(charge.customer));
     let Some(Quota { limit, .. }) = quota else {
         // The limit was removed by a configuration that the asker doesn't have yet.
         return grant(charge, Ok(()), f64::MAX);
--- a/crates/jb-relay/tests/rules.rs
+++ b/crates/jb-relay/tests/rules.rs
@@ -2,20 +2,20 @@
 
 use std::time::Duration;
 
-use jb_relay::configuration::{Kind, Route};
+use jb_relay::configuration::{Route, RouteKind};
 
 fn route(target: Duration, pause: Duration) -> Route {
     Route {
         name: "r".to_owned(),
         host: "shop.example".to_owned(),
-        prefix: "/r/".to_owned(),
-        kind: Kind::Stream,
+        path_prefix: "/r/".to_owned(),
+        kind: RouteKind::Stream,
         timeout: Duration::from_secs(4),
-        target,
-        pause,
-        rank: 0,
+        target_latency: target,
+        max_event_gap: pause,
+        priority: 0,
         services: Vec::new(),
-        attempts: 2,
+        max_attempts: 2,
         public: false,
         resumable: true,
     }
@@ -24,14 +24,14 @@
 #[test]
 fn silence_that_counts_follows_the_times_of_the_route() {
     let route = route(Duration::from_millis(400), Duration::from_millis(500));
-    assert_eq!(route.patience(), Duration::from_millis(600));
-    assert_eq!(route.silence(), Duration::from_millis(1000));
+    assert_eq!(route.response_stall_timeout(), Duration::from_millis(600));
+    assert_eq!(route.stream_stall_timeout(), Duration::from_millis(1000));
 }
 
 /// A box that waits for no time at all would look again without end.
 #[test]
 fn route_without_times_still_waits_a_little() {
     let route = route(Duration::ZERO, Duration::ZERO);
-    assert!(route.patience() > Duration::ZERO);
-    assert!(route.silence() > Duration::ZERO);
+    assert!(route.response_stall_timeout() > Duration::ZERO);
+    assert!(route.stream_stall_timeout() > Duration::ZERO);
 }
