--- a/crates/jb-daemon/src/site.rs
+++ b/crates/jb-daemon/src/site.rs
@@ -16,7 +16,7 @@
 pub fn run(path: &Path) -> miette::Result<()> {
     let settings = jb_site::read(path)?;
     let Log { logger, guard } = log::start(&settings.id, &settings.hall);
-    let store = Rc::new(jb_site::Store::new(settings.store));
+    let store = Rc::new(jb_site::Store::new(settings.store_address));
     let engines = Rc::new(jb_site::Engines::default());
     let parts = Parts {
         settings,
--- a/crates/jb-relay/src/admission.rs
+++ b/crates/jb-relay/src/admission.rs
@@ -110,7 +110,7 @@
     let configuration = core.configuration().ok_or(Refusal::NotReady)?;
     let age = core.age().ok_or(Refusal::NotReady)?;
     // What is missing here may be in a configuration that this box doesn't have yet.
-    let unsure = age > core.settings.bounds.config;
+    let unsure = age > core.settings.bounds.max_config_delay;
     let missing = |refusal: Refusal| if unsure { Refusal::Stale } else { refusal };
 
     let host = query.headers.text("host").unwrap_or_default();
@@ -121,8 +121,8 @@
         .clone();
     let mut customer = None;
     if !route.public && configuration.requires_keys() {
-        let oldest = core.settings.bounds.revoke.mul_f64(REVOKE_SHARE);
-        if core.settings.bounds.strict_revoke && core.key_age().is_none_or(|age| age > oldest) {
+        let oldest = core.settings.bounds.max_revocation_delay.mul_f64(REVOKE_SHARE);
+        if core.settings.bounds.strict_revocation && core.key_age().is_none_or(|age| age > oldest) {
             return Err(Refusal::Stale);
         }
         let key = query
--- a/crates/jb-relay/src/core.rs
+++ b/crates/jb-relay/src/core.rs
@@ -214,7 +214,7 @@
 
     /// Silence of the store in which no entry of an upstream lapses.
     pub fn harmless_silence(&self) -> Duration {
-        outage::harmless(self.settings.bounds.heartbeat)
+        outage::harmless(self.settings.bounds.heartbeat_interval)
     }
 
     /// Takes a span in which the store answered this box or another one.
@@ -313,7 +313,7 @@
         let bounds = &self.settings.bounds;
         let bound = Bound {
             ratio: bounds.retry_ratio,
-            extra: bounds.retry_extra,
+            extra: bounds.retry_burst,
             window: bounds.retry_window,
         };
         let boxes = self.book.borrow().boxes();
--- a/crates/jb-relay/src/exchange/place.rs
+++ b/crates/jb-relay/src/exchange/place.rs
@@ -192,7 +192,7 @@
         weights: model
             .and_then(|model| core.weights.borrow().get(model).cloned())
             .unwrap_or_default(),
-        time: core.settings.bounds.weights.mul_f64(WEIGHTS_SHARE),
+        time: core.settings.bounds.old_weights_grace.mul_f64(WEIGHTS_SHARE),
         hall: &core.settings.hall,
         demand: demand(request, body),
         except: tried,
--- a/crates/jb-relay/src/follow/resurrected.rs
+++ b/crates/jb-relay/src/follow/resurrected.rs
@@ -34,7 +34,7 @@
             .filter(|change| change.value.is_some())
             .filter(has_gone);
         self.entries = gone.map(|change| (change.key.clone(), change.clone())).collect();
-        self.until = core.now() + core.settings.bounds.heartbeat * HELD_BACK_HEARTBEATS;
+        self.until = core.now() + core.settings.bounds.heartbeat_interval * HELD_BACK_HEARTBEATS;
     }
 
     /// Returns whether a change is one that is held back; a newer one of the same upstream replaces it.
--- a/crates/jb-relay/src/follow/run.rs
+++ b/crates/jb-relay/src/follow/run.rs
@@ -129,7 +129,7 @@
     match progress.failing {
         Some(failing) => core.now() < failing.last + level.retry_interval(),
         None => {
-            let max_wait = level.max_wait(core.settings.bounds.revoke);
+            let max_wait = level.max_wait(core.settings.bounds.max_revocation_delay);
             why == peers::AskError::Outdated && core.age().is_some_and(|age| age < max_wait)
         }
     }
--- a/crates/jb-relay/src/front.rs
+++ b/crates/jb-relay/src/front.rs
@@ -44,7 +44,7 @@
 }
 
 async fn connection(core: Shared, stream: TcpStream) {
-    if core.stop.connections() + RESERVED >= core.settings.capacity.descriptors {
+    if core.stop.connections() + RESERVED >= core.settings.capacity.max_descriptors {
         // By the close the caller knows that nothing was read.
         emit!(core.logger, warn, event::ACCEPT_FAILED, "why" => "all descriptors for callers are in use");
         return;
@@ -108,7 +108,7 @@
     query: &Query,
     limits: &CallerLimits,
 ) -> Result<Bytes, Option<u16>> {
-    let room = (core.settings.capacity.memory / BODY_SHARE).saturating_sub(core.held.get());
+    let room = (core.settings.capacity.memory_bytes / BODY_SHARE).saturating_sub(core.held.get());
     let most = limits.max_body_bytes.min(room);
     if let Framing::Length(length) = query.framing {
         if length > limits.max_body_bytes as u64 {
--- a/crates/jb-relay/src/leader/load.rs
+++ b/crates/jb-relay/src/leader/load.rs
@@ -121,7 +121,7 @@
     /// for its weights.
     fn lets_rest(&self, upstream: &Upstream, model: &str) -> bool {
         let now = self.core.now();
-        let time = self.core.settings.bounds.weights.mul_f64(RESTING_SHARE);
+        let time = self.core.settings.bounds.old_weights_grace.mul_f64(RESTING_SHARE);
         let weights = self.core.weights.borrow();
         let overdue = upstream
             .weights(model)
--- a/crates/jb-relay/src/leader/term.rs
+++ b/crates/jb-relay/src/leader/term.rs
@@ -208,7 +208,7 @@
 
     /// Pause that orders of two boxes to one engine must keep.
     pub(super) fn gap(&self) -> Duration {
-        self.core.settings.bounds.order_gap + GAP_SLACK
+        self.core.settings.bounds.min_order_interval + GAP_SLACK
     }
 
     fn lose(&self, why: &str) {
--- a/crates/jb-relay/src/peers/quota.rs
+++ b/crates/jb-relay/src/peers/quota.rs
@@ -159,7 +159,7 @@
 fn left(core: &Core, customer: u32) -> Option<i64> {
     let known = core.quotas.known.borrow();
     let left = known.get(&customer)?.left?;
-    (core.now() < left.at + core.settings.bounds.quota.window).then_some(left.tokens)
+    (core.now() < left.at + core.settings.bounds.quota_tolerance.window).then_some(left.tokens)
 }
 
 /// Asks a box that keeps an account, which may be this one.
@@ -206,7 +206,7 @@
     };
     let terms = Terms {
         limit,
-        tolerance: core.settings.bounds.quota,
+        tolerance: core.settings.bounds.quota_tolerance,
         share: scope.share(core),
     };
     let mut accounts = core.quotas.accounts.borrow_mut();
--- a/crates/jb-relay/src/peers/register.rs
+++ b/crates/jb-relay/src/peers/register.rs
@@ -40,7 +40,10 @@
         return;
     }
     let address = SocketAddr::new(core.settings.ip, *port);
-    let own = format!("{address} {} {}", core.settings.hall, core.settings.capacity.link);
+    let own = format!(
+        "{address} {} {}",
+        core.settings.hall, core.settings.capacity.link_mbps
+    );
     let key = format!("{KEYS}{}", core.settings.id);
     let known = core.own.borrow().get(&key).cloned();
     let there = known.filter(|item| item.value.is_some() && item.revision.era == era);
--- a/crates/jb-relay/src/ready.rs
+++ b/crates/jb-relay/src/ready.rs
@@ -27,7 +27,7 @@
 pub fn is_ready(core: &Core) -> bool {
     let fresh = core
         .path_age()
-        .is_some_and(|age| age < core.settings.bounds.revoke.mul_f64(STALE_SHARE));
+        .is_some_and(|age| age < core.settings.bounds.max_revocation_delay.mul_f64(STALE_SHARE));
     fresh && core.configuration().is_some() && !core.stop.is_stopping()
 }
 
--- a/crates/jb-relay/src/settings.rs
+++ b/crates/jb-relay/src/settings.rs
@@ -17,13 +17,13 @@
     /// Own address.
     pub ip: IpAddr,
     /// Address for callers.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Address of the readiness check.
-    pub ready: SocketAddr,
+    pub readiness_address: SocketAddr,
     /// Ports free for messages between boxes.
-    pub ports: RangeInclusive<u16>,
+    pub peer_ports: RangeInclusive<u16>,
     /// Address of the platform's store.
-    pub store: SocketAddr,
+    pub store_address: SocketAddr,
     /// Whether the whole system starts for the first time, so that its store can't have been restored.
     pub is_first_start: bool,
     /// What a box may use.
@@ -36,19 +36,19 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity {
     /// Memory of the process, in bytes.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// Open files and sockets.
-    pub descriptors: usize,
+    pub max_descriptors: usize,
     /// Bandwidth of the machine's link, in Mbit/s.
-    pub link: u32,
+    pub link_mbps: u32,
 }
 
 impl Default for Capacity {
     fn default() -> Self {
         Self {
-            memory: 64 << 20,
-            descriptors: 1024,
-            link: 1000,
+            memory_bytes: 64 << 20,
+            max_descriptors: 1024,
+            link_mbps: 1000,
         }
     }
 }
@@ -57,47 +57,47 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// Time from SIGTERM to SIGKILL.
-    pub grace: Duration,
+    pub stop_grace: Duration,
     /// Time within which a configuration is in force.
-    pub config: Duration,
+    pub max_config_delay: Duration,
     /// Time after which a key that was taken away opens nothing.
-    pub revoke: Duration,
+    pub max_revocation_delay: Duration,
     /// Whether the bound on keys holds for boxes that cannot reach the store.
-    pub strict_revoke: bool,
+    pub strict_revocation: bool,
     /// Retries that each request of a service brings to all boxes together.
     pub retry_ratio: f64,
     /// Retries beyond that in one window, for all boxes together.
-    pub retry_extra: f64,
+    pub retry_burst: f64,
     /// Window of the retry budget.
     pub retry_window: Duration,
     /// Least pause between orders of two boxes to one engine.
-    pub order_gap: Duration,
+    pub min_order_interval: Duration,
     /// Time after which nothing may begin on older weights than the newest named.
-    pub weights: Duration,
+    pub old_weights_grace: Duration,
     /// What may run beyond a customer's limit.
-    pub quota: Tolerance,
+    pub quota_tolerance: Tolerance,
     /// Pause between two heartbeats of an upstream in the store.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
 }
 
 impl Default for Bounds {
     fn default() -> Self {
         Self {
-            grace: Duration::from_secs(8),
-            config: Duration::from_secs(2),
-            revoke: Duration::from_secs(5),
-            strict_revoke: true,
+            stop_grace: Duration::from_secs(8),
+            max_config_delay: Duration::from_secs(2),
+            max_revocation_delay: Duration::from_secs(5),
+            strict_revocation: true,
             retry_ratio: 0.2,
-            retry_extra: 50.0,
+            retry_burst: 50.0,
             retry_window: Duration::from_secs(10),
-            order_gap: Duration::from_secs(3),
-            weights: Duration::from_secs(10),
-            quota: Tolerance {
+            min_order_interval: Duration::from_secs(3),
+            old_weights_grace: Duration::from_secs(10),
+            quota_tolerance: Tolerance {
                 window: Duration::from_secs(8),
                 over: 0.1,
                 slack: 0.0,
             },
-            heartbeat: Duration::from_millis(1200),
+            heartbeat_interval: Duration::from_millis(1200),
         }
     }
 }
--- a/crates/jb-relay/src/start.rs
+++ b/crates/jb-relay/src/start.rs
@@ -53,9 +53,9 @@
     /// # Errors
     /// When an address cannot be listened on.
     pub async fn new(settings: &Settings) -> std::io::Result<Self> {
-        let callers = listen(settings.callers)?;
-        let checks = listen(settings.ready)?;
-        let (socket, transfers) = peers::bind(settings.ip, settings.ports.clone()).await?;
+        let callers = listen(settings.caller_address)?;
+        let checks = listen(settings.readiness_address)?;
+        let (socket, transfers) = peers::bind(settings.ip, settings.peer_ports.clone()).await?;
         Ok(Self {
             callers,
             checks,
@@ -114,7 +114,7 @@
         emit!(core.logger, warn, event::CLOCK_STEADY);
     }
     emit!(core.logger, info, event::BOX_STARTED, "callers" => %callers.local_addr()?,
-        "peers" => port, "store" => %core.settings.store);
+        "peers" => port, "store" => %core.settings.store_address);
     core.accounts.open(Rc::clone(&socket));
     core.quotas.open(Rc::clone(&socket));
     core.rate_limits.open(Rc::clone(&socket));
@@ -160,7 +160,7 @@
     let since = core.now();
     core.stop.begin(since);
     emit!(core.logger, info, event::BOX_STOPPING, "open" => core.stop.connections());
-    let end = (since + core.settings.bounds.grace).saturating_sub(LAST);
+    let end = (since + core.settings.bounds.stop_grace).saturating_sub(LAST);
     loop {
         sleep(LOOK).await;
         let now = core.now();
