--- a/crates/jb-relay/src/ticket.rs
+++ b/crates/jb-relay/src/admission.rs
@@ -3,14 +3,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use jb_policy::Moment;
 use jb_policy::prefix_cache::Segment;
-use jb_policy::rendezvous;
+use jb_policy::{Moment, rendezvous};
 use jb_protocol::id;
 
+use crate::configuration::{Configuration, QuotaUnit, Route};
 use crate::core::Core;
 use crate::http::RequestHead;
-use crate::rules::{Route, Rules, Unit};
 use crate::salt;
 
 /// Part of the bound on keys after which a box without updates refuses them;
@@ -23,11 +22,11 @@
 
 /// A request that was let in.
 #[derive(Debug)]
-pub struct Ticket {
+pub struct AdmittedRequest {
     /// Id that the caller gave.
     pub id: String,
     /// Configuration that it was judged by.
-    pub rules: Rc<Rules>,
+    pub configuration: Rc<Configuration>,
     /// Its route.
     pub route: Route,
     /// Its service.
@@ -100,26 +99,29 @@
 ///
 /// # Errors
 /// The refusal.
-pub fn admit(core: &Core, query: &RequestHead, arrived: Moment) -> Result<Ticket, Refusal> {
+pub fn admit(core: &Core, query: &RequestHead, arrived: Moment) -> Result<AdmittedRequest, Refusal> {
     let names = &core.names;
     let id = query
         .headers
         .text(names.request)
         .filter(|id| !id.is_empty())
         .ok_or(Refusal::NoId)?;
-    let rules = core.rules().ok_or(Refusal::NotReady)?;
+    let configuration = core.configuration().ok_or(Refusal::NotReady)?;
     let age = core.age().ok_or(Refusal::NotReady)?;
     // What is missing here may be in a configuration that this box doesn't have yet.
-    let unsure = age > core.settings.bounds.config;
+    let unsure = age > core.settings.bounds.max_config_delay;
     let missing = |refusal: Refusal| if unsure { Refusal::Stale } else { refusal };
 
     let host = query.headers.text("host").unwrap_or_default();
     let path = std::str::from_utf8(query.path()).unwrap_or_default();
-    let route = rules.route(host, path).ok_or(missing(Refusal::NoRoute))?.clone();
+    let route = configuration
+        .route(host, path)
+        .ok_or(missing(Refusal::NoRoute))?
+        .clone();
     let mut customer = None;
-    if !route.public && rules.wants_keys() {
-        let oldest = core.settings.bounds.revoke.mul_f64(REVOKE_SHARE);
-        if core.settings.bounds.strict_revoke && core.key_age().is_none_or(|age| age > oldest) {
+    if !route.public && configuration.requires_keys() {
+        let oldest = core.settings.bounds.max_revocation_delay.mul_f64(REVOKE_SHARE);
+        if core.settings.bounds.strict_revocation && core.key_age().is_none_or(|age| age > oldest) {
             return Err(Refusal::Stale);
         }
         let key = query
@@ -127,18 +129,26 @@
             .text("authorization")
             .and_then(bearer)
             .unwrap_or_default();
-        customer = Some(rules.customer(key).ok_or(missing(Refusal::NoKey))?.clone());
+        customer = Some(
+            configuration
+                .customer_by_key(key)
+                .ok_or(missing(Refusal::NoKey))?
+                .clone(),
+        );
     }
 
     let service = route
-        .service(rendezvous::name_hash(id))
+        .pick_service(rendezvous::name_hash(id))
         .cloned()
         .ok_or(Refusal::NoService)?;
     let salt = match &customer {
-        Some(customer) if customer.isolated => format!("of {}", customer.name),
+        Some(customer) if customer.has_isolated_cache => format!("of {}", customer.name),
         _ => SHARED_SALT.to_owned(),
     };
-    let rank = customer.as_ref().and_then(|c| c.rank).unwrap_or(route.rank);
+    let rank = customer
+        .as_ref()
+        .and_then(|c| c.priority)
+        .unwrap_or(route.priority);
     let wait = query.headers.number(names.deadline).map(Duration::from_millis);
     let deadline = arrived + wait.unwrap_or(route.timeout);
     let until = deadline.min(arrived + route.timeout);
@@ -148,10 +158,10 @@
     let out = size.map_or(DEFAULT_OUT, |(_, out)| out);
     let quota = customer.as_ref().and_then(|customer| customer.quota);
     let counts = quota.map(|quota| match quota.unit {
-        Unit::Requests => 1,
-        Unit::Tokens { plain } => size.map_or(plain, |(read, made)| read.saturating_add(made)),
+        QuotaUnit::Requests => 1,
+        QuotaUnit::Tokens { default } => size.map_or(default, |(read, made)| read.saturating_add(made)),
     });
-    Ok(Ticket {
+    Ok(AdmittedRequest {
         id: id.to_owned(),
         service,
         customer: customer.map(|c| c.name),
@@ -163,7 +173,7 @@
         out,
         arrived,
         until,
-        rules,
+        configuration,
         route,
     })
 }
@@ -191,7 +201,7 @@
     text.split(',').map_while(segment).collect()
 }
 
-impl Ticket {
+impl AdmittedRequest {
     /// Tokens of the prompt.
     pub fn tokens(&self) -> u64 {
         self.prompt.iter().map(|segment| segment.tokens).sum()
--- a/crates/jb-relay/src/exchange/ask.rs
+++ b/crates/jb-relay/src/exchange/ask.rs
@@ -10,10 +10,10 @@
 use jb_policy::placement::{self, Candidate, CostModel};
 
 use super::place::{self, Among, Choice};
+use crate::admission::AdmittedRequest;
 use crate::core::Shared;
 use crate::peers::{self, Admission, EngineState, Prompt, Reservation};
 use crate::saturating_cast::saturating_cast;
-use crate::ticket::Ticket;
 use crate::upstream::{Criteria, Instance};
 
 /// Accounts that are asked for one prompt at the most: the prefix group's own engine first, the others
@@ -49,21 +49,21 @@
 /// Chooses the upstream of a prompt by the accounts of engines, where one answers.
 pub(super) async fn choose(
     core: &Shared,
-    ticket: &Ticket,
+    request: &AdmittedRequest,
     body: &Bytes,
     tried: &[Instance],
     among: Among,
 ) -> Option<Choice> {
-    let (last, shared) = ticket.prompt.split_last()?;
+    let (last, shared) = request.prompt.split_last()?;
     let ask = Ask {
         core,
-        wanted: place::wanted(core, ticket, body, tried, among),
+        wanted: place::wanted(core, request, body, tried, among),
         prompt: Prompt {
             shared,
-            own: last.tokens + ticket.out,
-            deadline: ticket.until,
+            own: last.tokens + request.out,
+            deadline: request.until,
         },
-        tuning: place::tuning(core, ticket),
+        tuning: place::tuning(core, request),
         place: peers::draw_reservation_id(core),
     };
     let family = ask.wanted.demand.prefix_group()?;
@@ -75,14 +75,15 @@
     let looked = if ask.shares_little() {
         ask.look_near(own).await
     } else {
-        ask.at_home(own, others, family, ticket.route.target).await
+        ask.at_home(own, others, family, request.route.target_latency)
+            .await
     };
     let mut asked = match looked {
         Looked::Chosen(choice) => return Some(*choice),
         Looked::At(asked) => asked,
     };
     asked.retain(|asked| asked.view.is_open);
-    ask.compare(ticket, asked, tried.is_empty()).await
+    ask.compare(request, asked, tried.is_empty()).await
 }
 
 /// One search for an engine by accounts.
@@ -158,7 +159,7 @@
     }
 
     /// The best of the engines looked at, and whether the prompt goes there now.
-    async fn compare(&self, ticket: &Ticket, mut asked: Vec<Asked>, first: bool) -> Option<Choice> {
+    async fn compare(&self, request: &AdmittedRequest, mut asked: Vec<Asked>, first: bool) -> Option<Choice> {
         let most = asked.iter().map(|asked| asked.view.cached_tokens).max()?;
         for asked in &mut asked {
             asked.candidate.peer_cached_tokens = asked.candidate.peer_cached_tokens.max(most);
@@ -173,7 +174,7 @@
         let mut best = asked.swap_remove(at);
         let estimate = self.estimate(&best);
         let verdict = if first {
-            place::judge(self.core, ticket, &estimate)
+            place::judge(self.core, request, &estimate)
         } else {
             Decision::Send
         };
--- a/crates/jb-relay/src/follow/run.rs
+++ b/crates/jb-relay/src/follow/run.rs
@@ -19,7 +19,7 @@
 use super::start_up;
 use crate::core::{Core, Origin, Shared};
 use crate::peers;
-use crate::port::{Age, Change, News, Revision, StoreError};
+use crate::port::{Change, ChangeBatch, Consistency, Revision, StoreError};
 
 /// Pause between two calls: with the way there and back well under the time in which a
 /// configuration must be in force and a leaving upstream be known.
@@ -129,7 +129,7 @@
     match progress.failing {
         Some(failing) => core.now() < failing.last + level.retry_interval(),
         None => {
-            let max_wait = level.max_wait(core.settings.bounds.revoke);
+            let max_wait = level.max_wait(core.settings.bounds.max_revocation_delay);
             why == peers::PullError::Outdated && core.age().is_some_and(|age| age < max_wait)
         }
     }
@@ -163,7 +163,11 @@
     let asked = core.now();
     core.metrics.store_calls.inc();
     // A stale reading may be older than the history that is left.
-    let age = if progress.gone { Age::Fresh } else { Age::Stale };
+    let age = if progress.gone {
+        Consistency::Fresh
+    } else {
+        Consistency::Stale
+    };
     // A store that has been lost is to say at once that it is back.
     let waits = !progress.unproven && progress.failing.is_none();
     let wait = if waits { PERIOD } else { Duration::ZERO };
@@ -171,9 +175,9 @@
         Some(after) => core.store.changes(after, wait).await,
         None => core.store.all(age).await,
     };
-    let stale = progress.after.is_none() && age == Age::Stale;
+    let stale = progress.after.is_none() && age == Consistency::Stale;
     match news {
-        Ok(News { changes, revision }) => {
+        Ok(ChangeBatch { changes, revision }) => {
             found(core, progress);
             take(
                 core,
--- a/crates/jb-relay/src/front.rs
+++ b/crates/jb-relay/src/front.rs
@@ -7,14 +7,12 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-use crate::accept;
+use crate::admission::{self, AdmittedRequest, Refusal};
+use crate::configuration::CallerLimits;
 use crate::core::Shared;
 use crate::exchange::{Ending, Exchange};
 use crate::http::{BodyDecoder, Connection, Error, Framing, RequestHead, write_response_head};
-use crate::peers;
-use crate::rules::Limits;
-use crate::stop;
-use crate::ticket::{self, Refusal, Ticket};
+use crate::{accept, peers, stop};
 
 /// Longest time for the body of one request.
 const BODY_TIME: Duration = Duration::from_secs(10);
@@ -44,7 +42,7 @@
 }
 
 async fn connection(core: Shared, stream: TcpStream) {
-    if core.stop.connections() + RESERVED >= core.settings.capacity.descriptors {
+    if core.stop.connections() + RESERVED >= core.settings.capacity.max_descriptors {
         // By the close the caller knows that nothing was read.
         emit!(core.logger, warn, event::ACCEPT_FAILED, "why" => "all descriptors for callers are in use");
         return;
@@ -59,11 +57,14 @@
 
 /// Serves one request; whether the connection goes on.
 async fn one_request(core: &Shared, client: &mut Connection) -> bool {
-    let limits = core.rules().map(|rules| rules.limits).unwrap_or_default();
+    let limits = core
+        .configuration()
+        .map(|configuration| configuration.limits)
+        .unwrap_or_default();
     if client.buffer.is_empty() && !rested(core, client, &limits).await {
         return false;
     }
-    let query = match timeout(limits.head_time, client.read_request(limits.head)).await {
+    let query = match timeout(limits.head_timeout, client.read_request(limits.max_head_bytes)).await {
         Ok(Ok(query)) => query,
         Ok(Err(why)) => return refuse_head(core, client, &why).await,
         Err(_) => return refuse(core, client, 408, "slow_head").await,
@@ -82,10 +83,10 @@
 }
 
 /// Waits for the first byte of a request.
-async fn rested(core: &Shared, client: &mut Connection, limits: &Limits) -> bool {
+async fn rested(core: &Shared, client: &mut Connection, limits: &CallerLimits) -> bool {
     tokio::select! {
         filled = client.fill() => matches!(filled, Ok(read) if read > 0),
-        () = sleep(limits.idle) => false,
+        () = sleep(limits.idle_timeout) => false,
         () = stopped(core) => false,
     }
 }
@@ -103,12 +104,12 @@
     core: &Shared,
     client: &mut Connection,
     query: &RequestHead,
-    limits: &Limits,
+    limits: &CallerLimits,
 ) -> Result<Bytes, Option<u16>> {
-    let room = (core.settings.capacity.memory / BODY_SHARE).saturating_sub(core.held.get());
-    let most = limits.body.min(room);
+    let room = (core.settings.capacity.memory_bytes / BODY_SHARE).saturating_sub(core.held.get());
+    let most = limits.max_body_bytes.min(room);
     if let Framing::Length(length) = query.framing {
-        if length > limits.body as u64 {
+        if length > limits.max_body_bytes as u64 {
             return Err(Some(413));
         }
         if length > most as u64 {
@@ -123,7 +124,7 @@
     }
     match timeout(BODY_TIME, client.read_body(BodyDecoder::new(query.framing), most)).await {
         Ok(Ok(body)) => Ok(body),
-        Ok(Err(Error::BodyTooLong(_))) if most < limits.body => Err(Some(503)),
+        Ok(Err(Error::BodyTooLong(_))) if most < limits.max_body_bytes => Err(Some(503)),
         Ok(Err(Error::BodyTooLong(_))) => Err(Some(413)),
         Ok(Err(Error::Malformed(_))) => Err(Some(400)),
         Ok(Err(_)) => Err(None),
@@ -179,39 +180,39 @@
     arrived: jb_policy::Moment,
 ) -> bool {
     started(core).await;
-    let ticket = match ticket::admit(core, query, arrived) {
+    let request = match admission::admit(core, query, arrived) {
         Ok(_) if too_late(core) => return turn_away(core, client, query, Refusal::NotReady).await,
-        Ok(ticket) => ticket,
+        Ok(request) => request,
         Err(refusal) => return turn_away(core, client, query, refusal).await,
     };
-    let charged = match peers::charge(core, &ticket).await {
+    let charged = match peers::charge(core, &request).await {
         Ok(charged) => charged,
-        Err(after) => return limited(core, client, &ticket, after).await,
+        Err(after) => return limited(core, client, &request, after).await,
     };
-    let mut exchange = Exchange::new(core, query, body, &ticket);
+    let mut exchange = Exchange::new(core, query, body, &request);
     let ending = exchange.run(client).await;
     if let Some(charged) = charged {
         charged.settle(exchange.may_have_run());
     }
     let begun = exchange.has_begun();
     let after = exchange.room_after().unwrap_or_default().max(COME_BACK);
-    report(core, &ticket, &exchange, ending);
+    report(core, &request, &exchange, ending);
     match ending {
         Ending::Answered(_) => true,
         Ending::CallerGone | Ending::Broken(_) => false,
-        Ending::NotRun(_) => final_answer(core, client, &ticket.id, 503, Some(after)).await,
+        Ending::NotRun(_) => final_answer(core, client, &request.id, 503, Some(after)).await,
         // The head is out already: only the missing end shows the caller that it is incomplete.
         Ending::Lost(_) | Ending::Late if begun => false,
-        Ending::Lost(_) => final_answer(core, client, &ticket.id, 502, None).await,
-        Ending::Late => final_answer(core, client, &ticket.id, 504, None).await,
+        Ending::Lost(_) => final_answer(core, client, &request.id, 502, None).await,
+        Ending::Late => final_answer(core, client, &request.id, 504, None).await,
     }
 }
 
 /// Refuses a request beyond its customer's limit.
-async fn limited(core: &Shared, client: &mut Connection, ticket: &Ticket, after: Duration) -> bool {
+async fn limited(core: &Shared, client: &mut Connection, request: &AdmittedRequest, after: Duration) -> bool {
     const STATUS: u16 = 429;
     core.metrics.ended("limited", STATUS);
-    final_answer(core, client, &ticket.id, STATUS, Some(after)).await
+    final_answer(core, client, &request.id, STATUS, Some(after)).await
 }
 
 async fn turn_away(core: &Shared, client: &mut Connection, query: &RequestHead, refusal: Refusal) -> bool {
@@ -219,7 +220,7 @@
     let status = refusal.status();
     core.metrics.ended(refusal.name(), status);
     emit!(core.logger, info, event::REQUEST_REFUSED, "request" => id, "status" => status,
-        "why" => refusal.name(), "version" => core.rules().map(|rules| rules.version),
+        "why" => refusal.name(), "version" => core.configuration().map(|configuration| configuration.version),
         "age_ms" => core.age().map(|age| age.as_millis() as u64),
         "key_age_ms" => core.key_age().map(|age| age.as_millis() as u64));
     let after = (status == 503).then_some(COME_BACK);
@@ -256,7 +257,7 @@
         && keep_alive
 }
 
-fn report(core: &Shared, ticket: &Ticket, exchange: &Exchange<'_>, ending: Ending) {
+fn report(core: &Shared, request: &AdmittedRequest, exchange: &Exchange<'_>, ending: Ending) {
     let (name, status, why) = match ending {
         Ending::Answered(status) => ("answered", status, ""),
         Ending::NotRun(why) => ("not_run", 503, why),
@@ -266,11 +267,11 @@
         Ending::CallerGone => ("caller_gone", 0, ""),
     };
     core.metrics.ended(name, status);
-    emit!(core.logger, info, event::REQUEST_ENDED, "request" => &ticket.id, "route" => &ticket.route.name,
-        "service" => &ticket.service, "ending" => name, "status" => status, "why" => why,
+    emit!(core.logger, info, event::REQUEST_ENDED, "request" => &request.id, "route" => &request.route.name,
+        "service" => &request.service, "ending" => name, "status" => status, "why" => why,
         "ms" => exchange.took().as_millis() as u64, "tried" => tried(exchange),
         "first_ms" => exchange.pace().first.map(|first| first.as_millis() as u64),
-        "pause_ms" => exchange.pace().pause.as_millis() as u64, "version" => ticket.rules.version);
+        "pause_ms" => exchange.pace().pause.as_millis() as u64, "version" => request.configuration.version);
 }
 
 /// Ids of the upstreams that were tried, the first one first.
--- a/crates/jb-relay/src/lib.rs
+++ b/crates/jb-relay/src/lib.rs
@@ -5,9 +5,11 @@
 //! [`port`] and [`names`]; the decisions are in `jb-policy`.
 
 pub mod accept;
+pub mod admission;
 pub mod attempt;
 pub mod cache_scan;
 pub mod cache_store;
+pub mod configuration;
 pub mod core;
 pub mod deliver;
 pub mod events;
@@ -26,7 +28,6 @@
 pub mod ready;
 mod restart;
 pub mod restore;
-pub mod rules;
 pub mod salt;
 mod saturating_cast;
 pub mod settings;
@@ -34,6 +35,5 @@
 pub mod signal;
 pub mod start;
 pub mod stop;
-pub mod ticket;
 pub mod unknown_signals;
 pub mod upstream;
--- a/crates/jb-relay/src/peers/quota.rs
+++ b/crates/jb-relay/src/peers/quota.rs
@@ -17,10 +17,10 @@
 use super::message::{Charge, Grant, Message};
 use super::owner::{self, Owner, Scope};
 use super::socket::try_send;
+use crate::admission::AdmittedRequest;
+use crate::configuration::{Quota, short_name};
 use crate::core::{Core, Shared};
-use crate::rules::{Quota, short_name};
 use crate::saturating_cast::saturating_cast;
-use crate::ticket::Ticket;
 
 /// Time in which an account answers: 0.2 to 2 ms on the way, the rest for a box whose part of a
 /// core is spent for the moment.
@@ -100,8 +100,11 @@
 ///
 /// # Errors
 /// The time after which the request would be let in.
-pub async fn charge<'a>(core: &'a Shared, ticket: &Ticket) -> Result<Option<ChargedRequest<'a>>, Duration> {
-    let Some((name, tokens)) = ticket.customer.as_deref().zip(ticket.counts) else {
+pub async fn charge<'a>(
+    core: &'a Shared,
+    request: &AdmittedRequest,
+) -> Result<Option<ChargedRequest<'a>>, Duration> {
+    let Some((name, tokens)) = request.customer.as_deref().zip(request.counts) else {
         return Ok(None);
     };
     let customer = short_name(name);
@@ -109,7 +112,7 @@
         nonce: core.quotas.inquiries.draw_nonce(),
         customer,
         tokens,
-        urgent: ticket.route.rank <= ticket.rules.first_rank,
+        urgent: request.route.priority <= request.configuration.top_priority,
         again: false,
         uncharged: core.quotas.take_uncharged(customer),
         left: left(core, customer),
@@ -123,9 +126,12 @@
             tokens,
         }));
     };
-    let limit = ticket.rules.quota(customer).map(|quota| quota.limit.rate);
+    let limit = request
+        .configuration
+        .customer_quota(customer)
+        .map(|quota| quota.limit.rate);
     core.metrics.limited.inc();
-    emit!(core.logger, info, event::REQUEST_LIMITED, "request" => &ticket.id, "customer" => name,
+    emit!(core.logger, info, event::REQUEST_LIMITED, "request" => &request.id, "customer" => name,
         "tokens" => tokens, "limit_per_s" => limit, "left" => grant.left, "owner" => owner, "after_ms" => after);
     Err(Duration::from_millis(after.into()))
 }
@@ -153,7 +159,7 @@
 fn left(core: &Core, customer: u32) -> Option<i64> {
     let known = core.quotas.known.borrow();
     let left = known.get(&customer)?.left?;
-    (core.now() < left.at + core.settings.bounds.quota.window).then_some(left.tokens)
+    (core.now() < left.at + core.settings.bounds.quota_tolerance.window).then_some(left.tokens)
 }
 
 /// Asks a box that keeps an account, which may be this one.
@@ -191,14 +197,16 @@
 /// Judges a charge by the account that this box keeps.
 fn answer(core: &Core, charge: &Charge, scope: Scope) -> Grant {
     let now = core.now();
-    let quota = core.rules().and_then(|rules| rules.quota(charge.customer));
+    let quota = core
+        .configuration()
+        .and_then(|configuration| configuration.customer_quota(charge.customer));
     let Some(Quota { limit, .. }) = quota else {
         // The limit was removed by a configuration that the asker doesn't have yet.
         return grant(charge, Ok(()), f64::MAX);
     };
     let terms = Terms {
         limit,
-        tolerance: core.settings.bounds.quota,
+        tolerance: core.settings.bounds.quota_tolerance,
         share: scope.share(core),
     };
     let mut accounts = core.quotas.accounts.borrow_mut();
--- a/crates/jb-relay/src/port.rs
+++ b/crates/jb-relay/src/port.rs
@@ -10,7 +10,7 @@
 use jb_protocol::id;
 use serde::{Deserialize, Serialize};
 
-use crate::rules::Rules;
+use crate::configuration::Configuration;
 
 /// Number of times that the store has been restored from a copy.
 pub type Era = u64;
@@ -87,7 +87,7 @@
     /// Time for which it is slow after its start.
     pub cold: Duration,
     /// Models with the version of their weights.
-    pub models: Vec<Loaded>,
+    pub models: Vec<LoadedModel>,
 }
 
 impl Entry {
@@ -100,7 +100,7 @@
 
 /// A model as an engine has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Loaded {
+pub struct LoadedModel {
     /// Model.
     pub model: String,
     /// Version of its weights.
@@ -109,15 +109,15 @@
 
 /// One thing that the store holds.
 #[derive(Clone, Debug)]
-pub enum Fact {
+pub enum DecodedItem {
     /// The configuration.
-    Rules(Box<Rules>),
+    Configuration(Box<Configuration>),
     /// Word of an upstream, by its id.
     Upstream(String, Registration),
     /// The newest version of a model's weights.
-    Weights(Loaded),
+    Weights(LoadedModel),
     /// An item of the boxes themselves.
-    Own(Change),
+    BoxItem(Change),
     /// A value that could not be read; the one before stays in force.
     Unreadable {
         /// Key.
@@ -140,7 +140,7 @@
 
 /// What has changed in the store, or all that it holds.
 #[derive(Debug)]
-pub struct News {
+pub struct ChangeBatch {
     /// Changes, the older first.
     pub changes: Vec<Change>,
     /// Revision after which to ask next.
@@ -199,7 +199,7 @@
 
 /// How old what is read may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Age {
+pub enum Consistency {
     /// As it stands now.
     Fresh,
     /// Some seconds old; costs a tenth and does not count for the store's rate.
@@ -210,24 +210,29 @@
 #[async_trait(?Send)]
 pub trait Store {
     /// Content of a change.
-    fn decode(&self, change: &Change) -> Fact;
+    fn decode(&self, change: &Change) -> DecodedItem;
     /// Id of the upstream whose entry has changed, if it is one's.
     fn upstream<'a>(&self, change: &'a Change) -> Option<&'a str>;
     /// Items of a page, at the most.
     fn page_items(&self) -> usize;
     /// A page of the items whose keys begin with a prefix, as they are or, at less cost, were some seconds ago;
     /// the first one where `after` names no key.
-    async fn page(&self, prefix: &str, after: Option<&str>, age: Age) -> Result<Page, StoreError>;
+    async fn page(
+        &self,
+        prefix: &str,
+        after: Option<&str>,
+        consistency: Consistency,
+    ) -> Result<Page, StoreError>;
     /// All items whose keys begin with a prefix. Pages may be of different ages: the revision is that of the
     /// oldest, after which changes are asked for again. [`StoreError::Restored`] when they are of two eras.
-    async fn items(&self, prefix: &str, age: Age) -> Result<News, StoreError> {
+    async fn items(&self, prefix: &str, consistency: Consistency) -> Result<ChangeBatch, StoreError> {
         let Page {
             mut changes,
             mut revision,
             mut next,
-        } = self.page(prefix, None, age).await?;
+        } = self.page(prefix, None, consistency).await?;
         while let Some(after) = next {
-            let page = retry_page(self, prefix, &after, age).await?;
+            let page = retry_page(self, prefix, &after, consistency).await?;
             if page.revision.era != revision.era {
                 return Err(StoreError::Restored);
             }
@@ -235,14 +240,14 @@
             revision = revision.min(page.revision);
             next = page.next;
         }
-        Ok(News { changes, revision })
+        Ok(ChangeBatch { changes, revision })
     }
     /// All that it holds.
-    async fn all(&self, age: Age) -> Result<News, StoreError> {
-        self.items("", age).await
+    async fn all(&self, consistency: Consistency) -> Result<ChangeBatch, StoreError> {
+        self.items("", consistency).await
     }
     /// What has changed after a revision; waits up to `wait` for something.
-    async fn changes(&self, after: Revision, wait: Duration) -> Result<News, StoreError>;
+    async fn changes(&self, after: Revision, wait: Duration) -> Result<ChangeBatch, StoreError>;
     /// Takes out a lease.
     async fn lease(&self, time: Duration) -> Result<Lease, StoreError>;
     /// Renews a lease; [`StoreError::NoLease`] also when the store has been restored since.
@@ -261,15 +266,15 @@
     store: &S,
     prefix: &str,
     after: &str,
-    age: Age,
+    consistency: Consistency,
 ) -> Result<Page, StoreError> {
     for _ in 1..PAGE_TRIES {
-        match store.page(prefix, Some(after), age).await {
+        match store.page(prefix, Some(after), consistency).await {
             Err(StoreError::Lost(_)) => {}
             page => return page,
         }
     }
-    store.page(prefix, Some(after), age).await
+    store.page(prefix, Some(after), consistency).await
 }
 
 /// What an engine reports of itself.
@@ -278,7 +283,7 @@
     /// When the engine started, if that is known.
     pub started_at: Option<StartTime>,
     /// Models with the version of their weights.
-    pub models: Vec<Loaded>,
+    pub models: Vec<LoadedModel>,
     /// Whether an order is under way.
     pub busy: bool,
     /// Orders taken since its start.
@@ -303,7 +308,7 @@
 
 /// How an engine answered an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum OrderOutcome {
     /// It is being done.
     Started,
     /// It holds already.
@@ -347,5 +352,5 @@
     /// Asks for the engine's report.
     async fn report(&self, address: SocketAddr) -> Observed<Report>;
     /// Gives an order to an incarnation of an engine.
-    async fn order(&self, address: SocketAddr, incarnation: &str, order: &Order) -> Observed<Taken>;
+    async fn order(&self, address: SocketAddr, incarnation: &str, order: &Order) -> Observed<OrderOutcome>;
 }
