--- a/crates/jb-policy/src/pace.rs
+++ b/crates/jb-policy/src/prefill_rate.rs
@@ -16,12 +16,12 @@
 
 /// Reading speed of one service's engines.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct PrefillRate {
     tokens: f64,
     millis: f64,
 }
 
-impl Default for Pace {
+impl Default for PrefillRate {
     fn default() -> Self {
         Self {
             tokens: INITIAL_SAMPLE_TOKENS,
@@ -30,9 +30,9 @@
     }
 }
 
-impl Pace {
+impl PrefillRate {
     /// Notes a first token: tokens that were to be read up to it, and the time since the send.
-    pub fn note(&mut self, tokens: u64, took: Duration) {
+    pub fn record(&mut self, tokens: u64, took: Duration) {
         if tokens < MIN_SAMPLE_TOKENS {
             return;
         }
--- a/crates/jb-policy/tests/admission.rs
+++ b/crates/jb-policy/tests/admission.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use jb_policy::admission::{Decision, Estimate, Request, decide};
-use jb_policy::pace::Pace;
+use jb_policy::prefill_rate::PrefillRate;
 
 const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -57,10 +57,10 @@
 
 #[test]
 fn reading_speed_follows_first_tokens() {
-    let mut pace = Pace::default();
+    let mut pace = PrefillRate::default();
     for _ in 0..200 {
-        pace.note(100, ms(900));
-        pace.note(6000, ms(220));
+        pace.record(100, ms(900));
+        pace.record(6000, ms(220));
     }
     assert!((pace.tokens_per_ms() - 30.0).abs() < 1.0, "{pace:?}");
 }
--- a/crates/jb-policy/tests/overload.rs
+++ b/crates/jb-policy/tests/overload.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use jb_policy::admission::{self, Decision, Estimate};
-use jb_policy::pace::Pace;
+use jb_policy::prefill_rate::PrefillRate;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -128,7 +128,7 @@
     }
 
     /// One step; runs that got their first token are noted.
-    fn step(&mut self, now: f64, pace: &mut Pace, seconds: &mut [Second]) {
+    fn step(&mut self, now: f64, pace: &mut PrefillRate, seconds: &mut [Second]) {
         while self.running.len() < SLOTS
             && let Some(next) = self.queue.front()
             && self.held() + next.kind.unread + next.kind.shared + next.kind.steps <= MEMORY
@@ -153,7 +153,7 @@
                 let took = self.busy_until - run.came;
                 let in_time = took <= run.kind.target.as_secs_f64() * 1000.0;
                 run.first = Some(in_time);
-                pace.note(run.ahead as u64, millis(self.busy_until - run.sent));
+                pace.record(run.ahead as u64, millis(self.busy_until - run.sent));
                 let second = &mut seconds[(run.came / 1000.0) as usize];
                 second.in_time += u32::from(in_time);
                 second.late += u32::from(!in_time);
@@ -188,7 +188,7 @@
     for (at, engine) in engines.iter_mut().enumerate() {
         engine.slowness = if at % 3 == 2 { SLOW } else { 1.0 };
     }
-    let mut pace = Pace::default();
+    let mut pace = PrefillRate::default();
     let mut seconds = vec![Second::default(); LENGTH as usize + 1];
     let mut waiting: Vec<Waiting> = Vec::new();
     let mut now = 0.0_f64;
@@ -274,7 +274,7 @@
     engines: &[Engine],
     kind: Kind,
     cold: bool,
-    pace: &Pace,
+    pace: &PrefillRate,
     random: &mut ChaCha8Rng,
 ) -> (usize, Duration, f64) {
     let drawn = [0, 1].map(|_| random.random_range(0..engines.len()));
--- a/crates/jb-relay/src/core.rs
+++ b/crates/jb-relay/src/core.rs
@@ -9,8 +9,8 @@
 use jb_policy::Moment;
 use jb_policy::hall_reachability::HallReachability;
 use jb_policy::outage::{self, Span};
-use jb_policy::pace::Pace;
 use jb_policy::placement::CostModel;
+use jb_policy::prefill_rate::PrefillRate;
 use jb_policy::share::{Bound, Budget};
 use jb_policy::weights::History;
 use jb_protocol::id;
@@ -127,7 +127,7 @@
     /// Retry budget of each service.
     pub budgets: RefCell<HashMap<id::Service, Budget>>,
     /// Reading speed of each service's engines.
-    pub paces: RefCell<HashMap<id::Service, Pace>>,
+    pub paces: RefCell<HashMap<id::Service, PrefillRate>>,
     /// Bytes of request bodies held.
     pub held: Cell<usize>,
     /// The clock.
--- a/crates/jb-relay/src/exchange/count.rs
+++ b/crates/jb-relay/src/exchange/count.rs
@@ -61,7 +61,7 @@
             paces
                 .entry(service.to_owned())
                 .or_default()
-                .note(self.ahead, took);
+                .record(self.ahead, took);
         }
         self.started();
         if let Some(held) = &self.held {
