--- a/crates/jb-policy/src/share.rs
+++ b/crates/jb-policy/src/retry_budget.rs
@@ -12,9 +12,9 @@
 /// Share of the operators' bound that is spent; the rest covers clocks and arrivals under way.
 const CAUTION: f64 = 0.8;
 
-/// Bound of a service's budget.
+/// Config of a service's budget.
 #[derive(Clone, Copy, Debug)]
-pub struct Bound {
+pub struct Config {
     /// Sends beyond the first that each request brings.
     pub ratio: f64,
     /// Sends beyond the first in one window besides, for all boxes together.
@@ -32,17 +32,17 @@
 
 impl Budget {
     /// Notes a new request.
-    pub fn request(&mut self, now: Moment, window: Duration) {
+    pub fn record_request(&mut self, now: Moment, window: Duration) {
         self.requests.push_back(now);
         forget(&mut self.requests, now, window);
     }
 
     /// Takes one send beyond the first; `false` when the budget is spent.
-    pub fn spend(&mut self, now: Moment, bound: &Bound, boxes: usize) -> bool {
-        forget(&mut self.requests, now, bound.window);
-        forget(&mut self.repeats, now, bound.window);
-        let earned = bound.ratio * self.requests.len() as f64;
-        let fixed = bound.extra / boxes.max(1) as f64;
+    pub fn try_spend(&mut self, now: Moment, config: &Config, boxes: usize) -> bool {
+        forget(&mut self.requests, now, config.window);
+        forget(&mut self.repeats, now, config.window);
+        let earned = config.ratio * self.requests.len() as f64;
+        let fixed = config.extra / boxes.max(1) as f64;
         let allowed = CAUTION * (earned + fixed);
         let open = ((self.repeats.len() + 1) as f64) <= allowed;
         if open {
--- a/crates/jb-policy/src/route/pool.rs
+++ b/crates/jb-policy/src/route/pool.rs
@@ -7,23 +7,21 @@
 use jb_protocol::admin::{Candidate, Weighing};
 use jb_protocol::engine::Report;
 use jb_protocol::error::Kind;
-use jb_protocol::id;
 use jb_protocol::priority::Priority;
-use jb_protocol::service;
 use jb_protocol::token::TOKENS_PER_BLOCK;
+use jb_protocol::{id, service};
 use jb_tree::view::Service;
 
 use self::weigh::Weighed;
 use super::{Ask, Choice, Permit, Refused};
-use crate::Moment;
-use crate::cell;
 use crate::health::Change;
 use crate::prefix::Chain;
 use crate::prefix_index::{EngineIndex, PrefixIndex};
-use crate::share::{Bound, Budget};
+use crate::retry_budget::{Budget, Config};
 use crate::signal::Signals;
 use crate::stream::Start;
 use crate::upstream::{Applied, Upstream};
+use crate::{Moment, cell};
 
 /// Prefixes remembered for each block that an engine can hold, divided by 8.
 const MARKS_PER_ENGINE_BLOCK: usize = 4;
@@ -121,18 +119,18 @@
 
     /// Notes a new request, which brings its share of retries.
     pub fn earn_retries(&mut self, now: Moment) {
-        self.budget.request(now, RETRY_WINDOW);
+        self.budget.record_request(now, RETRY_WINDOW);
     }
 
     /// Takes one retry of this box's share of the budget; `false` when it is spent.
     pub fn spend_retry(&mut self, boxes: u32, now: Moment) -> bool {
         let boxes = boxes.max(1);
-        let bound = Bound {
+        let bound = Config {
             ratio: f64::from(self.service.retry_percent) / 100.0,
             extra: RESERVE * f64::from(boxes),
             window: RETRY_WINDOW,
         };
-        self.budget.spend(now, &bound, boxes as usize)
+        self.budget.try_spend(now, &bound, boxes as usize)
     }
 
     /// Chooses an upstream and counts the request there.
--- a/crates/jb-policy/tests/placement.rs
+++ b/crates/jb-policy/tests/placement.rs
@@ -6,7 +6,7 @@
 
 use jb_policy::placement::{Candidate, CostModel, Demand, best};
 use jb_policy::prefix_cache::{PrefixCache, Segment};
-use jb_policy::share::{Bound, Budget};
+use jb_policy::retry_budget::{Budget, Config};
 use jb_policy::weights::{History, Overdue};
 
 fn candidate(name: u64) -> Candidate {
@@ -125,7 +125,7 @@
 
 #[test]
 fn shares_of_all_boxes_together_stay_within_the_bound() {
-    let bound = Bound {
+    let bound = Config {
         ratio: 0.2,
         extra: 56.0,
         window: Duration::from_secs(10),
@@ -136,9 +136,9 @@
         let mut budget = Budget::default();
         for number in 0..requests {
             let now = Duration::from_millis(number * 100);
-            budget.request(now, bound.window);
-            spent += u32::from(budget.spend(now, &bound, boxes));
-            spent += u32::from(budget.spend(now, &bound, boxes));
+            budget.record_request(now, bound.window);
+            spent += u32::from(budget.try_spend(now, &bound, boxes));
+            spent += u32::from(budget.try_spend(now, &bound, boxes));
         }
     }
     let allowed = bound.ratio * f64::from(8 * 50) + bound.extra;
@@ -147,16 +147,16 @@
 
 #[test]
 fn budget_comes_back_when_the_window_has_passed() {
-    let bound = Bound {
+    let bound = Config {
         ratio: 0.2,
         extra: 8.0,
         window: Duration::from_secs(10),
     };
     let mut budget = Budget::default();
     let start = Duration::from_secs(1);
-    let spent = (0..100).filter(|_| budget.spend(start, &bound, 1)).count();
+    let spent = (0..100).filter(|_| budget.try_spend(start, &bound, 1)).count();
     assert_eq!(spent, 6);
-    assert!(budget.spend(start + Duration::from_secs(11), &bound, 1));
+    assert!(budget.try_spend(start + Duration::from_secs(11), &bound, 1));
 }
 
 /// A newer version that was named meanwhile made old engines look young again (grown site,
--- a/crates/jb-policy/tests/shed.rs
+++ b/crates/jb-policy/tests/shed.rs
@@ -11,7 +11,7 @@
 
 use jb_policy::Moment;
 use jb_policy::backoff::Backoff;
-use jb_policy::share::{Bound, Budget};
+use jb_policy::retry_budget::{Budget, Config};
 use jb_policy::signal::Signals;
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
@@ -119,13 +119,13 @@
     }
 
     fn request(&mut self, by: usize, now: Moment, takes: Duration) {
-        let bound = Bound {
+        let bound = Config {
             ratio: 0.2,
             extra: 50.0,
             window: Duration::from_secs(10),
         };
         self.figures.asked += 1;
-        self.budgets[by].request(now, bound.window);
+        self.budgets[by].record_request(now, bound.window);
         let mut tried = Vec::new();
         while tried.len() < MOST_SENDS {
             let own = |engine: &usize| self.running(by, *engine);
@@ -137,7 +137,7 @@
             let Some(engine) = open.min_by_key(own) else {
                 return;
             };
-            if !tried.is_empty() && !self.budgets[by].spend(now, &bound, self.boxes) {
+            if !tried.is_empty() && !self.budgets[by].try_spend(now, &bound, self.boxes) {
                 return;
             }
             tried.push(engine);
--- a/crates/jb-relay/src/core.rs
+++ b/crates/jb-relay/src/core.rs
@@ -11,7 +11,7 @@
 use jb_policy::outage::{self, Span};
 use jb_policy::placement::CostModel;
 use jb_policy::prefill_rate::PrefillRate;
-use jb_policy::share::{Bound, Budget};
+use jb_policy::retry_budget::{Budget, Config};
 use jb_policy::weights::History;
 use jb_protocol::id;
 use slog::Logger;
@@ -305,13 +305,13 @@
     pub fn earn(&self, service: &str) {
         let mut budgets = self.budgets.borrow_mut();
         let budget = budgets.entry(service.to_owned()).or_default();
-        budget.request(self.now(), self.settings.bounds.retry_window);
+        budget.record_request(self.now(), self.settings.bounds.retry_window);
     }
 
     /// Takes one send beyond the first from a service's budget.
     pub fn spend(&self, service: &str) -> bool {
         let bounds = &self.settings.bounds;
-        let bound = Bound {
+        let bound = Config {
             ratio: bounds.retry_ratio,
             extra: bounds.retry_burst,
             window: bounds.retry_window,
@@ -321,7 +321,7 @@
         let spent = budgets
             .entry(service.to_owned())
             .or_default()
-            .spend(self.now(), &bound, boxes);
+            .try_spend(self.now(), &bound, boxes);
         self.metrics.retries.inc_by(u64::from(spent));
         spent
     }
