--- a/crates/jb-daemon/src/decide/message.rs
+++ b/crates/jb-daemon/src/decide/message.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
+use jb_policy::customer_limit::{Admitted, Exceeded};
 use jb_policy::hall::Summary;
-use jb_policy::limit::{Admitted, Over};
 use jb_policy::route::{Ask, Choice, Permit, Refused};
 use jb_policy::signal::Signals;
 use jb_policy::stream::Start;
@@ -20,7 +20,7 @@
     /// Tokens of prompt and answer.
     pub tokens: u32,
     /// Where to answer.
-    pub reply: oneshot::Sender<Result<Admitted, Over>>,
+    pub reply: oneshot::Sender<Result<Admitted, Exceeded>>,
 }
 
 /// Asks for an upstream.
--- a/crates/jb-daemon/src/decide/ring.rs
+++ b/crates/jb-daemon/src/decide/ring.rs
@@ -1,6 +1,6 @@
 //! The bounded ring to the thread that decides.
 
-use jb_policy::limit::{Admitted, Over};
+use jb_policy::customer_limit::{Admitted, Exceeded};
 use jb_policy::rate_limit::Announcement;
 use jb_policy::route::{Ask, Choice, Permit, Refused};
 use jb_policy::signal::Signals;
@@ -66,7 +66,11 @@
     ///
     /// # Errors
     /// [`Full`], or in the inner result the limit exceeded.
-    pub async fn admit(&self, customer: &str, tokens: u32) -> Result<Result<(Admitted, Ticket), Over>, Full> {
+    pub async fn admit(
+        &self,
+        customer: &str,
+        tokens: u32,
+    ) -> Result<Result<(Admitted, Ticket), Exceeded>, Full> {
         let permit = self.reserve()?;
         let (reply, answer) = oneshot::channel();
         self.send(Message::Admit(Admission {
--- a/crates/jb-daemon/src/decide/worker.rs
+++ b/crates/jb-daemon/src/decide/worker.rs
@@ -5,9 +5,9 @@
 use std::thread;
 
 use jb_clock::Clock;
+use jb_policy::customer_limit::{Exceeded, Limits};
 use jb_policy::hall::Summary;
 use jb_policy::health::Change;
-use jb_policy::limit::{Limits, Over};
 use jb_policy::rendezvous;
 use jb_policy::route::{Choice, Permit, Pool, Refused};
 use jb_policy::signal::Signals;
@@ -96,15 +96,15 @@
         let now = self.clock.now();
         let result = match self.view.customers.get(&admission.customer) {
             Some(customer) => self.limits.admit(customer, self.boxes, admission.tokens, now),
-            None => Err(Over {
+            None => Err(Exceeded {
                 kind: Kind::Unauthenticated,
-                after: std::time::Duration::ZERO,
+                retry_after: std::time::Duration::ZERO,
             }),
         };
         let admitted = result.is_ok();
         if admission.reply.send(result).is_err() && admitted {
             self.limits.refund(&admission.customer, admission.tokens);
-            self.limits.end(&admission.customer);
+            self.limits.release(&admission.customer);
         }
     }
 
@@ -144,7 +144,7 @@
         match ending {
             Ending::Request { customer, refund } => {
                 self.limits.refund(customer, *refund);
-                self.limits.end(customer);
+                self.limits.release(customer);
             }
             Ending::Attempt {
                 service,
--- a/crates/jb-daemon/src/serve/completions.rs
+++ b/crates/jb-daemon/src/serve/completions.rs
@@ -6,8 +6,8 @@
 use async_stream::stream;
 use bytes::Bytes;
 use jb_policy::call::{Call, Refusal};
+use jb_policy::customer_limit::Admitted;
 use jb_policy::idempotency::{self, Decision, Reservation};
-use jb_policy::limit::Admitted;
 use jb_protocol::error::{Kind, Outcome};
 use jb_protocol::{event, header};
 use opentelemetry::trace::SpanKind;
@@ -75,7 +75,7 @@
     let mut run = understand(context, request, body, id).await?;
     let (admitted, limit) = admit(context, &call, &run.customer, run.tokens()).await?;
     run.traceparent = hop.traceparent();
-    if admitted.strained {
+    if admitted.demoted {
         run.class = run.class.lower();
     }
     let key = request.header(header::IDEMPOTENCY_KEY);
@@ -177,7 +177,7 @@
         Err(full) => Err(call.refuse(Kind::Busy, full.to_string())),
         Ok(Err(over)) => Err(call
             .refuse(over.kind, "over the customer's limit")
-            .with_after(over.after)),
+            .with_after(over.retry_after)),
         Ok(Ok(admitted)) => Ok(admitted),
     }
 }
--- a/crates/jb-policy/benches/decide.rs
+++ b/crates/jb-policy/benches/decide.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use criterion::{Criterion, criterion_group, criterion_main};
+use jb_policy::customer_limit::Limits;
 use jb_policy::idempotency::{Reservation, Shard};
-use jb_policy::limit::Limits;
 use jb_policy::member::{Member, Members};
 use jb_policy::prefix::{Chain, Scope};
 use jb_policy::route::{Ask, Pool};
@@ -115,7 +115,7 @@
             n += 1;
             let customer = &customers[n as usize % customers.len()];
             let admitted = limits.admit(black_box(customer), 76, 10, Duration::from_secs(n));
-            limits.end(&customer.id);
+            limits.release(&customer.id);
             admitted
         });
     });
--- a/crates/jb-policy/src/limit.rs
+++ b/crates/jb-policy/src/customer_limit.rs
@@ -19,11 +19,11 @@
 
 /// A refusal by a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Over {
+pub struct Exceeded {
     /// The limit.
     pub kind: Kind,
     /// When the request would be admitted if nothing else came.
-    pub after: Duration,
+    pub retry_after: Duration,
 }
 
 /// An admitted request.
@@ -31,7 +31,7 @@
 pub struct Admitted {
     /// The customer uses more than it is entitled to over time. Its request
     /// runs one priority class lower, so that others do not wait for it.
-    pub strained: bool,
+    pub demoted: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -60,7 +60,7 @@
         boxes: u32,
         tokens: u32,
         now: Moment,
-    ) -> Result<Admitted, Over> {
+    ) -> Result<Admitted, Exceeded> {
         let boxes = boxes.max(1);
         let rate = f64::from(customer.tokens_per_second) / f64::from(boxes);
         let room = rate * BURST.as_secs_f64();
@@ -73,29 +73,29 @@
         used.tokens = (used.tokens + idle.as_secs_f64() * rate).min(room);
         used.refilled_at = now;
         if used.open >= customer.max_concurrent.div_ceil(boxes) {
-            return Err(Over {
+            return Err(Exceeded {
                 kind: Kind::ConcurrencyLimited,
-                after: CONCURRENCY_PAUSE,
+                retry_after: CONCURRENCY_PAUSE,
             });
         }
         // A request longer than the whole room is admitted when the room is full.
         let needed = f64::from(tokens).min(room);
         if used.tokens < needed {
             let seconds = (needed - used.tokens) / rate.max(f64::MIN_POSITIVE);
-            return Err(Over {
+            return Err(Exceeded {
                 kind: Kind::RateLimited,
-                after: Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX),
+                retry_after: Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX),
             });
         }
         used.tokens -= f64::from(tokens);
         used.open += 1;
         Ok(Admitted {
-            strained: used.tokens < room * STRAINED,
+            demoted: used.tokens < room * STRAINED,
         })
     }
 
     /// Notes the end of an admitted request.
-    pub fn end(&mut self, customer: &str) {
+    pub fn release(&mut self, customer: &str) {
         if let Some(used) = self.uses.get_mut(customer) {
             used.open = used.open.saturating_sub(1);
         }
--- a/crates/jb-policy/src/lib.rs
+++ b/crates/jb-policy/src/lib.rs
@@ -4,11 +4,11 @@
 //! passes in what happened and when, and gets back what to do. Times are
 //! [`Moment`]s, durations since a start of the caller's choice.
 
-pub mod account;
 pub mod admission;
 pub mod backoff;
 pub mod call;
 pub mod cell;
+pub mod customer_limit;
 pub mod dissemination;
 pub mod election;
 pub mod hall;
@@ -16,7 +16,6 @@
 pub mod health;
 pub mod idempotency;
 pub mod leader;
-pub mod limit;
 pub mod load;
 pub mod member;
 pub mod outage;
@@ -30,6 +29,7 @@
 pub mod quota;
 pub mod rate_limit;
 pub mod rendezvous;
+pub mod reservation;
 pub mod retry_budget;
 pub mod route;
 pub mod signal;
--- a/crates/jb-policy/src/quota.rs
+++ b/crates/jb-policy/src/quota.rs
@@ -36,7 +36,7 @@
     /// Window.
     pub window: Duration,
     /// Share of what the limit allows in a window.
-    pub over: f64,
+    pub overrun_ratio: f64,
     /// Tokens on top.
     pub slack: f64,
 }
@@ -44,7 +44,7 @@
 impl Tolerance {
     /// Tokens that may run beyond a limit in one window.
     pub fn overrun(&self, limit: &Limit) -> f64 {
-        self.over * self.allowed(limit) + self.slack
+        self.overrun_ratio * self.allowed(limit) + self.slack
     }
 
     /// Tokens that a limit itself allows in one window.
@@ -55,7 +55,7 @@
 
 /// What an account goes by at a moment.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct Parameters {
     /// The customer's limit.
     pub limit: Limit,
     /// What is tolerated beyond it.
@@ -64,7 +64,7 @@
     pub share: f64,
 }
 
-impl Terms {
+impl Parameters {
     /// Most tokens that an account holds.
     fn room(&self) -> f64 {
         self.overrun(ROOM_SHARE)
@@ -97,17 +97,19 @@
 
 /// The account of one customer.
 #[derive(Clone, Copy, Debug)]
-pub struct Account {
+pub struct Bucket {
     level: f64,
     at: Moment,
 }
 
-impl Account {
+impl Bucket {
     /// An account that goes on from what another one had left, as its boxes remember it.
-    pub fn new(terms: &Terms, left: Option<f64>, now: Moment) -> Self {
-        let left = left.map(|left| terms.share * left);
+    pub fn new(parameters: &Parameters, left: Option<f64>, now: Moment) -> Self {
+        let left = left.map(|left| parameters.share * left);
         Self {
-            level: left.unwrap_or(terms.overrun(BEGIN_SHARE)).min(terms.room()),
+            level: left
+                .unwrap_or(parameters.overrun(BEGIN_SHARE))
+                .min(parameters.room()),
             at: now,
         }
     }
@@ -121,35 +123,35 @@
     ///
     /// # Errors
     /// The time after which it would be let in if nothing else came.
-    pub fn take(&mut self, terms: &Terms, charge: Charge, now: Moment) -> Result<(), Duration> {
-        self.fill(terms, now);
+    pub fn take(&mut self, parameters: &Parameters, charge: Charge, now: Moment) -> Result<(), Duration> {
+        self.fill(parameters, now);
         let reserved = if charge.urgent {
             0.0
         } else {
-            terms.overrun(URGENT_SHARE)
+            parameters.overrun(URGENT_SHARE)
         };
         let tokens = charge.tokens as f64;
         // What is longer than the whole room is let in once the room is full.
-        let needed = (reserved + tokens).min(terms.room());
+        let needed = (reserved + tokens).min(parameters.room());
         if self.level >= needed {
             self.level -= tokens;
             return Ok(());
         }
-        let millis = 1000.0 * (needed - self.level) / terms.rate().max(f64::MIN_POSITIVE);
+        let millis = 1000.0 * (needed - self.level) / parameters.rate().max(f64::MIN_POSITIVE);
         // Whole milliseconds, as in `Retry-After`; the cast saturates.
         Err(Duration::from_millis(millis.ceil() as u64))
     }
 
     /// Counts tokens that ran without being asked for; less than none are given back.
-    pub fn settle(&mut self, terms: &Terms, tokens: f64) {
-        self.level = (self.level - tokens).min(terms.room());
+    pub fn settle(&mut self, parameters: &Parameters, tokens: f64) {
+        self.level = (self.level - tokens).min(parameters.room());
     }
 
-    fn fill(&mut self, terms: &Terms, now: Moment) {
-        let room = terms.room();
+    fn fill(&mut self, parameters: &Parameters, now: Moment) {
+        let room = parameters.room();
         let passed = now.saturating_sub(self.at).as_secs_f64();
         self.at = self.at.max(now);
         // What is above a smaller share's room belongs to those who speak for the rest.
-        self.level = (self.level + passed * terms.rate()).min(room);
+        self.level = (self.level + passed * parameters.rate()).min(room);
     }
 }
--- a/crates/jb-policy/src/rate_limit.rs
+++ b/crates/jb-policy/src/rate_limit.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::Moment;
-use crate::quota::{self, Account, Charge, Tolerance};
+use crate::quota::{self, Bucket, Charge, Tolerance};
 
 /// Requests per second.
 pub type Rate = f64;
@@ -16,7 +16,7 @@
 /// requests in the window, as two boxes may own a bucket for a moment.
 const TOLERANCE: Tolerance = Tolerance {
     window: Duration::from_secs(4),
-    over: 0.3,
+    overrun_ratio: 0.3,
     slack: 3.0,
 };
 
@@ -26,9 +26,9 @@
     urgent: true,
 };
 
-/// Terms of the bucket of a box that answers for a share of the fleet, 0 to 1.
-pub fn terms(rate: Rate, share: f64) -> quota::Terms {
-    quota::Terms {
+/// Parameters of the bucket of a box that answers for a share of the fleet, 0 to 1.
+pub fn parameters(rate: Rate, share: f64) -> quota::Parameters {
+    quota::Parameters {
         limit: quota::Limit {
             rate: rate.max(PROBE_RATE),
             burst: 0.0,
@@ -42,9 +42,9 @@
 ///
 /// A small share is overdrawn by up to one request, by the owner's `phase` from 0 to 1: boxes with
 /// different phases don't send their first requests at the same moment.
-pub fn bucket(terms: &quota::Terms, phase: f64, now: Moment) -> Account {
-    let overdrawn = phase * (1.0 - terms.share) / terms.share.max(f64::MIN_POSITIVE);
-    Account::new(terms, Some(-overdrawn), now)
+pub fn bucket(parameters: &quota::Parameters, phase: f64, now: Moment) -> Bucket {
+    let overdrawn = phase * (1.0 - parameters.share) / parameters.share.max(f64::MIN_POSITIVE);
+    Bucket::new(parameters, Some(-overdrawn), now)
 }
 
 /// Rate limit in the head of one response.
@@ -154,15 +154,15 @@
 
 /// Rate limit of one instance, of which a box uses an even share without asking other boxes.
 #[derive(Clone, Copy, Debug)]
-pub struct Share {
+pub struct Limiter {
     limit: Limit,
     /// Bucket while there is a limit.
-    bucket: Option<Account>,
+    bucket: Option<Bucket>,
     share: f64,
     phase: f64,
 }
 
-impl Default for Share {
+impl Default for Limiter {
     fn default() -> Self {
         Self {
             limit: Limit::default(),
@@ -173,7 +173,7 @@
     }
 }
 
-impl Share {
+impl Limiter {
     /// Sets the share that this box may use, 0 to 1, and the phase of its bucket.
     pub fn set_share(&mut self, share: f64, phase: f64) {
         self.share = share;
@@ -195,8 +195,11 @@
     /// has changed.
     pub fn observe(&mut self, announcement: Announcement, sent: Moment, now: Moment) -> bool {
         let changed = self.limit.observe(announcement, Some(sent), now);
-        let terms = self.terms();
-        self.bucket = terms.map(|terms| self.bucket.unwrap_or_else(|| bucket(&terms, self.phase, now)));
+        let parameters = self.parameters();
+        self.bucket = parameters.map(|parameters| {
+            self.bucket
+                .unwrap_or_else(|| bucket(&parameters, self.phase, now))
+        });
         changed
     }
 
@@ -212,13 +215,13 @@
     /// # Errors
     /// The time after which there is one to take.
     pub fn take(&mut self, now: Moment) -> Result<(), Duration> {
-        match (self.terms(), &mut self.bucket) {
-            (Some(terms), Some(bucket)) => bucket.take(&terms, ONE_REQUEST, now),
+        match (self.parameters(), &mut self.bucket) {
+            (Some(parameters), Some(bucket)) => bucket.take(&parameters, ONE_REQUEST, now),
             _ => Ok(()),
         }
     }
 
-    fn terms(&self) -> Option<quota::Terms> {
-        self.rate().map(|rate| terms(rate, self.share))
+    fn parameters(&self) -> Option<quota::Parameters> {
+        self.rate().map(|rate| parameters(rate, self.share))
     }
 }
--- a/crates/jb-policy/src/account.rs
+++ b/crates/jb-policy/src/reservation.rs
@@ -12,7 +12,7 @@
 use crate::prefix_cache::SegmentId;
 
 /// Id of a place that a box has taken; drawn by the box.
-pub type Place = u64;
+pub type ReservationId = u64;
 
 /// Interval at which a prefix group is sent to a store: stores evict and restart without notice.
 const STORE_INTERVAL: Duration = Duration::from_secs(20);
@@ -23,9 +23,9 @@
 
 /// One prompt at the engine.
 #[derive(Clone, Copy, Debug)]
-struct Taken {
+struct Reservation {
     /// Tokens that wait for its first token.
-    waiting: u64,
+    queued_tokens: u64,
     /// When its request must have ended.
     until: Moment,
 }
@@ -35,7 +35,7 @@
 const MAX_QUEUE_SHARE: f64 = 0.12;
 
 /// Returns the prompt tokens that may be queued at the engine of a prefix group.
-pub fn ahead(tokens_per_ms: f64, target: Duration) -> u64 {
+pub fn max_queued_tokens(tokens_per_ms: f64, target: Duration) -> u64 {
     (tokens_per_ms * target.as_secs_f64() * 1000.0 * MAX_QUEUE_SHARE) as u64
 }
 
@@ -45,28 +45,28 @@
     /// Requests.
     pub running: u32,
     /// Prompt tokens that wait for their first token.
-    pub waiting: u64,
+    pub queued_tokens: u64,
 }
 
 impl Load {
     /// Whether an engine with so many places has room for a prompt that at most `ahead` tokens
     /// may wait before.
-    pub fn has_room(&self, slots: u32, ahead: u64) -> bool {
-        self.running < slots && self.waiting <= ahead
+    pub fn has_capacity(&self, slots: u32, max_queued_tokens: u64) -> bool {
+        self.running < slots && self.queued_tokens <= max_queued_tokens
     }
 }
 
 /// The account of one engine.
 #[derive(Clone, Debug, Default)]
-pub struct Account {
-    places: HashMap<Place, Taken>,
+pub struct Reservations {
+    places: HashMap<ReservationId, Reservation>,
     /// When each family's parts were last to be sent to a store.
     sent: HashMap<SegmentId, Moment>,
     /// Since when families wait for a small prompt to send their parts with.
     due: HashMap<SegmentId, Moment>,
 }
 
-impl Account {
+impl Reservations {
     /// Drops places whose time is over: their boxes died, or the message of their end was lost. Returns
     /// how many there were.
     pub fn expire(&mut self, now: Moment) -> usize {
@@ -79,30 +79,30 @@
     pub fn load(&self) -> Load {
         Load {
             running: u32::try_from(self.places.len()).unwrap_or(u32::MAX),
-            waiting: self.places.values().map(|taken| taken.waiting).sum(),
+            queued_tokens: self.places.values().map(|taken| taken.queued_tokens).sum(),
         }
     }
 
     /// Takes a place for a prompt with so many tokens to read.
-    pub fn take(&mut self, place: Place, waiting: u64, until: Moment) {
-        self.places.insert(place, Taken { waiting, until });
+    pub fn reserve(&mut self, place: ReservationId, queued_tokens: u64, until: Moment) {
+        self.places.insert(place, Reservation { queued_tokens, until });
     }
 
     /// The first token has come.
-    pub fn begin(&mut self, place: Place) {
+    pub fn record_first_token(&mut self, place: ReservationId) {
         if let Some(taken) = self.places.get_mut(&place) {
-            taken.waiting = 0;
+            taken.queued_tokens = 0;
         }
     }
 
     /// Gives a place back; whether it was taken.
-    pub fn end(&mut self, place: Place) -> bool {
+    pub fn release(&mut self, place: ReservationId) -> bool {
         self.places.remove(&place).is_some()
     }
 
     /// Whether a prompt's parts are to be sent to a store with this request: `small` ones go
     /// first, as their own part goes there too and pushes out parts that others could use.
-    pub fn send_due(&mut self, family: SegmentId, small: bool, now: Moment) -> bool {
+    pub fn schedule_store_send(&mut self, family: SegmentId, small: bool, now: Moment) -> bool {
         let last = self.sent.get(&family);
         if last.is_some_and(|at| now < *at + STORE_INTERVAL) {
             return false;
@@ -121,7 +121,7 @@
     }
 
     /// Whether a store is believed to have a family's parts.
-    pub fn is_sent(&self, family: SegmentId, now: Moment) -> bool {
+    pub fn is_stored(&self, family: SegmentId, now: Moment) -> bool {
         self.sent.get(&family).is_some_and(|at| now >= *at + STORE_DELAY)
     }
 }
--- a/crates/jb-policy/src/upstream.rs
+++ b/crates/jb-policy/src/upstream.rs
@@ -12,7 +12,7 @@
 use crate::load::Backlog;
 use crate::prefix_index::{EngineIndex, Epoch, Fill, Holder};
 use crate::pressure::Pressure;
-use crate::rate_limit::{Rate, Share};
+use crate::rate_limit::{Limiter, Rate};
 use crate::signal::Signals;
 use crate::{Moment, rendezvous};
 
@@ -80,7 +80,7 @@
     /// Until when it drains by the signal of a response.
     leaves_until: Moment,
     /// Rate limit that it has announced for all boxes together.
-    limit: Share,
+    limit: Limiter,
 }
 
 impl Upstream {
@@ -101,7 +101,7 @@
             fits: true,
             backoff: Backoff::default(),
             leaves_until: Moment::ZERO,
-            limit: Share::default(),
+            limit: Limiter::default(),
         }
     }
 
@@ -179,7 +179,7 @@
     }
 
     /// Its rate limit, as far as this box uses it.
-    pub fn limit_mut(&mut self) -> &mut Share {
+    pub fn limit_mut(&mut self) -> &mut Limiter {
         &mut self.limit
     }
 
--- a/crates/jb-policy/tests/crowd.rs
+++ b/crates/jb-policy/tests/crowd.rs
@@ -10,10 +10,10 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use jb_policy::account::{self, Account, Load};
 use jb_policy::placement::{Candidate, CostModel, Demand, best};
 use jb_policy::prefix_cache::Segment;
 use jb_policy::rendezvous;
+use jb_policy::reservation::{self, Load, Reservations};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -36,7 +36,7 @@
 /// One engine as it is, with its account.
 #[derive(Default)]
 struct Engine {
-    account: Account,
+    account: Reservations,
     /// When all that it has been sent is read, in seconds.
     read_at: f64,
 }
@@ -52,8 +52,8 @@
 fn choose(family: u64, loads: &[Load]) -> usize {
     let names = (0..ENGINES).map(|at| (at, rendezvous::name_hash(&format!("engine-{at}"))));
     let first = rendezvous::top(family, names, ASKED);
-    let ahead = account::ahead(TOKENS_PER_MS, TARGET);
-    if loads[first[0]].has_room(SLOTS, ahead) {
+    let ahead = reservation::max_queued_tokens(TOKENS_PER_MS, TARGET);
+    if loads[first[0]].has_capacity(SLOTS, ahead) {
         return first[0];
     }
     let segment = |id, tokens| Segment { id, tokens };
@@ -67,7 +67,7 @@
         own_hall: true,
         running: loads[*at].running,
         slots: SLOTS,
-        queued_tokens: loads[*at].waiting,
+        queued_tokens: loads[*at].queued_tokens,
         cached_tokens: SHARED,
         peer_cached_tokens: SHARED,
         has_stale_weights: false,
@@ -93,9 +93,9 @@
             events.pop();
             let account = &mut engines[engine].account;
             if ended {
-                account.end(place);
+                account.release(place);
             } else {
-                account.begin(place);
+                account.record_first_token(place);
             }
         }
         let loads: Vec<Load> = engines.iter_mut().map(|engine| engine.account.load()).collect();
@@ -120,7 +120,7 @@
         engine.read_at = engine.read_at.max(now) + reading;
         let first = engine.read_at;
         let place = u64::from(number);
-        engine.account.take(place, OWN, moment(now + 10.0));
+        engine.account.reserve(place, OWN, moment(now + 10.0));
         events.push(Reverse(((first * 1e6) as u64, at, place, false)));
         events.push(Reverse((((first + RUN) * 1e6) as u64, at, place, true)));
         late += u32::from(first - now > TARGET.as_secs_f64());
--- a/crates/jb-policy/tests/quota.rs
+++ b/crates/jb-policy/tests/quota.rs
@@ -10,7 +10,7 @@
 
 use std::time::Duration;
 
-use jb_policy::quota::{Account, Charge, Limit, Terms, Tolerance};
+use jb_policy::quota::{Bucket, Charge, Limit, Parameters, Tolerance};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -27,7 +27,7 @@
 const LENGTH: f64 = 24.0;
 const TOLERANCE: Tolerance = Tolerance {
     window: WINDOW,
-    over: 0.1,
+    overrun_ratio: 0.1,
     slack: 110_000.0,
 };
 /// Age of what boxes hear of each other through leads.
@@ -80,8 +80,8 @@
     }
 }
 
-fn terms(rate: f64, share: f64) -> Terms {
-    Terms {
+fn terms(rate: f64, share: f64) -> Parameters {
+    Parameters {
         limit: limit(rate),
         tolerance: TOLERANCE,
         share,
@@ -89,8 +89,8 @@
 }
 
 /// An account that nothing has been taken from.
-fn full(terms: &Terms) -> Account {
-    Account::new(terms, Some(f64::MAX), Duration::ZERO)
+fn full(terms: &Parameters) -> Bucket {
+    Bucket::new(terms, Some(f64::MAX), Duration::ZERO)
 }
 
 fn charge(request: &Request) -> Charge {
@@ -164,7 +164,7 @@
 /// An even share of the limit at each box.
 fn by_even_shares(rate: f64, all: &[Request]) -> Let {
     let terms = terms(rate, 1.0 / BOXES as f64);
-    let mut accounts: Vec<Account> = (0..BOXES).map(|_| full(&terms)).collect();
+    let mut accounts: Vec<Bucket> = (0..BOXES).map(|_| full(&terms)).collect();
     let mut lets = Let::new();
     for request in all {
         let account = &mut accounts[request.at_box];
@@ -269,7 +269,7 @@
 /// One side of a fleet: an account, with what its boxes remember of the one before it.
 #[derive(Clone, Default)]
 struct Side {
-    account: Option<Account>,
+    account: Option<Bucket>,
     left: Option<f64>,
 }
 
@@ -304,7 +304,7 @@
         let now = moment(request.at);
         let account = side
             .account
-            .get_or_insert_with(|| Account::new(&terms, remembered, now));
+            .get_or_insert_with(|| Bucket::new(&terms, remembered, now));
         if account.take(&terms, charge(&request), now).is_ok() {
             lets.push((request.at, request.tokens));
         }
@@ -333,7 +333,7 @@
 fn refused_request_is_let_in_after_the_time_that_it_was_told() {
     let terms = terms(29_000.0, 1.0);
     let now = WINDOW * 2;
-    let mut account = Account::new(&terms, Some(0.0), now);
+    let mut account = Bucket::new(&terms, Some(0.0), now);
     let wanted = Charge {
         tokens: LONG,
         urgent: true,
@@ -362,7 +362,7 @@
 #[test]
 fn what_has_not_run_is_given_back_and_what_ran_twice_is_counted() {
     let terms = terms(29_000.0, 1.0);
-    let mut account = Account::new(&terms, Some(10_000.0), Duration::ZERO);
+    let mut account = Bucket::new(&terms, Some(10_000.0), Duration::ZERO);
     account.settle(&terms, 4000.0);
     assert!((account.level() - 6000.0).abs() < 1.0);
     account.settle(&terms, -2000.0);
--- a/crates/jb-policy/tests/rate_limit.rs
+++ b/crates/jb-policy/tests/rate_limit.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use jb_policy::Moment;
-use jb_policy::quota::Account;
-use jb_policy::rate_limit::{self, Announcement, Limit, ONE_REQUEST, Observation, Rate, Share};
+use jb_policy::quota::Bucket;
+use jb_policy::rate_limit::{self, Announcement, Limit, Limiter, ONE_REQUEST, Observation, Rate};
 use quickcheck::{Gen, QuickCheck};
 
 fn at(ms: u64) -> Moment {
@@ -92,9 +92,9 @@
 }
 
 /// Moments at which a bucket permits one of the requests that arrive each millisecond.
-fn permitted(bucket: &mut Account, rate: Rate, share: f64, span: std::ops::Range<u64>) -> Vec<Moment> {
-    let terms = rate_limit::terms(rate, share);
-    let taken = |now: &Moment| bucket.take(&terms, ONE_REQUEST, *now).is_ok();
+fn permitted(bucket: &mut Bucket, rate: Rate, share: f64, span: std::ops::Range<u64>) -> Vec<Moment> {
+    let parameters = rate_limit::parameters(rate, share);
+    let taken = |now: &Moment| bucket.take(&parameters, ONE_REQUEST, *now).is_ok();
     span.map(at).filter(taken).collect()
 }
 
@@ -104,7 +104,7 @@
 #[test]
 fn one_owner_permits_nearly_all_and_never_more_than_the_limit() {
     for rate in RATES {
-        let mut bucket = rate_limit::bucket(&rate_limit::terms(rate, 1.0), 0.0, at(0));
+        let mut bucket = rate_limit::bucket(&rate_limit::parameters(rate, 1.0), 0.0, at(0));
         let sent = permitted(&mut bucket, rate, 1.0, 0..60_000);
         let most = most_in_a_window(&sent);
         assert!(most <= allowed(rate), "{rate}: {most}");
@@ -120,7 +120,7 @@
     for rate in RATES {
         let mut sent = Vec::new();
         for share in [1.0, 0.25] {
-            let mut bucket = rate_limit::bucket(&rate_limit::terms(rate, share), 0.0, at(0));
+            let mut bucket = rate_limit::bucket(&rate_limit::parameters(rate, share), 0.0, at(0));
             sent.extend(permitted(&mut bucket, rate, share, 0..20_000));
         }
         sent.sort_unstable();
@@ -135,7 +135,7 @@
     for rate in RATES {
         let mut sent = Vec::new();
         for start in (0..30_000).step_by(3000) {
-            let mut bucket = rate_limit::bucket(&rate_limit::terms(rate, 1.0), 0.0, at(start));
+            let mut bucket = rate_limit::bucket(&rate_limit::parameters(rate, 1.0), 0.0, at(start));
             // Requests stop for a while, so that the bucket fills before the change.
             sent.extend(permitted(&mut bucket, rate, 1.0, start + 2000..start + 3000));
         }
@@ -150,7 +150,7 @@
     for boxes in [1, 2, 8, 30, 90, 300] {
         let mut sent = Vec::new();
         for number in 0..boxes {
-            let mut share = Share::default();
+            let mut share = Limiter::default();
             let count = f64::from(boxes);
             share.set_share(1.0 / count, f64::from(number) / count);
             share.observe(Announcement::Limited(10.0), at(0), at(1));
@@ -167,7 +167,7 @@
 
 #[test]
 fn share_without_a_limit_permits_everything() {
-    let mut share = Share::default();
+    let mut share = Limiter::default();
     assert_eq!(share.permit_after(at(1)), Duration::ZERO);
     share.observe(Announcement::Limited(1.0), at(0), at(1));
     assert!(share.permit_after(at(1)) > Duration::ZERO);
--- a/crates/jb-policy/tests/spread.rs
+++ b/crates/jb-policy/tests/spread.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use jb_policy::cell;
+use jb_policy::customer_limit::Limits;
 use jb_policy::hall::{self, Summary};
-use jb_policy::limit::Limits;
 use jb_policy::member::{Change, Member, Members};
 use jb_policy::rendezvous;
 use jb_protocol::error::Kind;
@@ -62,7 +62,7 @@
         .admit(&customer, 1, 1500, Duration::ZERO)
         .expect_err("over the rate");
     assert_eq!(over.kind, Kind::RateLimited);
-    assert!(limits.admit(&customer, 1, 1500, over.after).is_ok());
+    assert!(limits.admit(&customer, 1, 1500, over.retry_after).is_ok());
 }
 
 #[test]
@@ -76,7 +76,7 @@
         .admit(&customer, 2, 1, Duration::ZERO)
         .expect_err("half of four are open");
     assert_eq!(over.kind, Kind::ConcurrencyLimited);
-    limits.end("c");
+    limits.release("c");
     assert!(limits.admit(&customer, 2, 1, Duration::ZERO).is_ok());
 }
 
--- a/crates/jb-relay/src/exchange/ask.rs
+++ b/crates/jb-relay/src/exchange/ask.rs
@@ -5,9 +5,9 @@
 
 use bytes::Bytes;
 use futures_util::future::join_all;
-use jb_policy::account::{self, Load, Place};
 use jb_policy::admission::{Decision, Estimate};
 use jb_policy::placement::{self, Candidate, CostModel};
+use jb_policy::reservation::{self, Load, ReservationId};
 
 use super::place::{self, Among, Choice};
 use crate::admission::AdmittedRequest;
@@ -92,7 +92,7 @@
     wanted: Criteria<'a>,
     prompt: Prompt<'a>,
     tuning: CostModel,
-    place: Place,
+    place: ReservationId,
 }
 
 /// What a first round of questions has brought.
@@ -132,7 +132,7 @@
 
     /// Asks the family's own engine for a place, and looks at others where it has none.
     async fn at_home(&self, own: &Instance, others: &[Instance], family: u64, target: Duration) -> Looked {
-        let ahead = account::ahead(self.tuning.prefill_tokens_per_ms, target);
+        let ahead = reservation::max_queued_tokens(self.tuning.prefill_tokens_per_ms, target);
         let room = Admission::QueueLimit(saturating_cast(ahead));
         let held = peers::hold(self.core, own, self.place);
         let Some(view) = peers::request_reservation(self.core, own, self.place, &self.prompt, room).await
@@ -206,7 +206,7 @@
     fn estimate(&self, asked: &Asked) -> Estimate {
         Estimate {
             ttft: placement::time_to_first_token(&asked.candidate, &self.wanted.demand, &self.tuning),
-            has_queue: asked.view.load.waiting > 0,
+            has_queue: asked.view.load.queued_tokens > 0,
         }
     }
 
@@ -271,7 +271,7 @@
         let shared = self.wanted.demand.shared_tokens();
         let candidate = Candidate {
             running: view.load.running,
-            queued_tokens: view.load.waiting,
+            queued_tokens: view.load.queued_tokens,
             cached_tokens: view.cached_tokens,
             peer_cached_tokens: if view.is_stored { shared } else { 0 },
             ..upstream.candidate(&self.wanted, behind)
--- a/crates/jb-relay/src/exchange/prompt.rs
+++ b/crates/jb-relay/src/exchange/prompt.rs
@@ -100,7 +100,7 @@
             "brought" => plan.tokens, "unread" => unread, "origin" => ?plan.origin, "stored" => advice.stored,
             "from" => self.message.source.map(|from| from.to_string()), "to_store" => self.message.store.is_some(),
             "family" => self.demand().prefix_group(), "running" => advice.load.running,
-            "waiting" => advice.load.waiting);
+            "waiting" => advice.load.queued_tokens);
         unread
     }
 
--- a/crates/jb-relay/src/peers/message/place.rs
+++ b/crates/jb-relay/src/peers/message/place.rs
@@ -1,6 +1,6 @@
 //! Questions to accounts of engines, and their answers.
 
-use jb_policy::account::Place;
+use jb_policy::reservation::ReservationId;
 use serde::{Deserialize, Serialize};
 
 use crate::peers::reservation::Outcome;
@@ -20,7 +20,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct Question {
     /// Id of the place.
-    pub place: Place,
+    pub place: ReservationId,
     /// Lower half of the hash of the engine's id.
     pub engine: u32,
     /// Shared parts of the prompt with their tokens.
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct Advice {
     /// Id of the place.
-    pub place: Place,
+    pub place: ReservationId,
     /// Lower half of the hash of the engine's id.
     pub engine: u32,
     /// Whether the engine may get requests.
@@ -62,7 +62,7 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct Returned {
     /// Id of the place.
-    pub place: Place,
+    pub place: ReservationId,
     /// Lower half of the hash of the engine's id.
     pub engine: u32,
     /// How the request ended; none when its first token has come.
--- a/crates/jb-relay/src/peers/quota.rs
+++ b/crates/jb-relay/src/peers/quota.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use jb_policy::Moment;
-use jb_policy::quota::{self, Account, Terms};
+use jb_policy::quota::{self, Bucket, Parameters};
 use jb_protocol::{emit, event, id};
 use tokio::net::UdpSocket;
 
@@ -47,7 +47,7 @@
 pub struct Quotas {
     inquiries: Inquiries<u64, Grant>,
     /// Accounts that this box keeps, by the customer's short name.
-    accounts: RefCell<HashMap<u32, Account>>,
+    accounts: RefCell<HashMap<u32, Bucket>>,
     /// What this box knows of accounts.
     known: RefCell<HashMap<u32, Known>>,
 }
@@ -204,13 +204,13 @@
         // The limit was removed by a configuration that the asker doesn't have yet.
         return grant(charge, Ok(()), f64::MAX);
     };
-    let terms = Terms {
+    let terms = Parameters {
         limit,
         tolerance: core.settings.bounds.quota_tolerance,
         share: scope.share(core),
     };
     let mut accounts = core.quotas.accounts.borrow_mut();
-    let begin = || Account::new(&terms, charge.left.map(|left| left as f64), now);
+    let begin = || Bucket::new(&terms, charge.left.map(|left| left as f64), now);
     let account = accounts.entry(charge.customer).or_insert_with(begin);
     account.settle(&terms, charge.uncharged as f64);
     let charged = quota::Charge {
--- a/crates/jb-relay/src/peers/rate_limit.rs
+++ b/crates/jb-relay/src/peers/rate_limit.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use jb_policy::Moment;
-use jb_policy::quota::Account as Bucket;
+use jb_policy::quota::Bucket;
 use jb_policy::rate_limit;
 use jb_policy::rendezvous;
 use jb_protocol::{emit, event};
@@ -164,7 +164,7 @@
 /// Takes one request from a bucket; returns the time after which one is available if there is none.
 fn take(core: &Core, instance: u32, rate: rate_limit::Rate, scope: Scope) -> Option<Duration> {
     let now = core.now();
-    let terms = rate_limit::terms(rate, scope.share(core));
+    let terms = rate_limit::parameters(rate, scope.share(core));
     let mut buckets = core.rate_limits.buckets.borrow_mut();
     if !buckets.contains_key(&instance) {
         drop_unknown(core, &mut buckets);
--- a/crates/jb-relay/src/peers/reservation.rs
+++ b/crates/jb-relay/src/peers/reservation.rs
@@ -10,9 +10,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use jb_policy::account::{Load, Place};
 use jb_policy::health::Change;
 use jb_policy::prefix_cache::Segment;
+use jb_policy::reservation::{Load, ReservationId};
 use jb_policy::{Moment, rendezvous};
 use jb_protocol::{emit, event};
 use tokio::net::UdpSocket;
@@ -41,7 +41,7 @@
 /// What a box asks for itself.
 #[derive(Debug, Default)]
 pub struct Reservations {
-    inquiries: Inquiries<(Place, u32), Advice>,
+    inquiries: Inquiries<(ReservationId, u32), Advice>,
 }
 
 impl Reservations {
@@ -51,7 +51,7 @@
     }
 
     /// Id for a new place.
-    fn draw_id(&self, own: &str) -> Place {
+    fn draw_id(&self, own: &str) -> ReservationId {
         rendezvous::weight(self.inquiries.draw_nonce(), rendezvous::name_hash(own))
     }
 }
@@ -88,7 +88,7 @@
 pub struct Reservation {
     core: Shared,
     engine: Instance,
-    place: Place,
+    place: ReservationId,
     outcome: Rc<Cell<Outcome>>,
 }
 
@@ -111,12 +111,12 @@
 }
 
 /// Id under which a box asks for one send.
-pub fn draw_reservation_id(core: &Core) -> Place {
+pub fn draw_reservation_id(core: &Core) -> ReservationId {
     core.accounts.draw_id(&core.settings.id)
 }
 
 /// A place at an engine, to be given back.
-pub fn hold(core: &Shared, engine: &Instance, place: Place) -> Reservation {
+pub fn hold(core: &Shared, engine: &Instance, place: ReservationId) -> Reservation {
     Reservation {
         core: Rc::clone(core),
         engine: engine.clone(),
@@ -130,7 +130,7 @@
 pub async fn request(
     core: &Core,
     engine: &Instance,
-    place: Place,
+    place: ReservationId,
     prompt: &Prompt<'_>,
     room: Admission,
 ) -> Option<EngineState> {
@@ -179,7 +179,7 @@
         is_reserved: advice.taken,
         load: Load {
             running: advice.running,
-            waiting: u64::from(advice.waiting),
+            queued_tokens: u64::from(advice.waiting),
         },
         cached_tokens: u64::from(advice.found),
         send_to_store: advice.send_to_store,
@@ -201,7 +201,7 @@
     Some((name, owner))
 }
 
-fn give_back(core: &Core, engine: &Instance, place: Place, ending: Option<Outcome>) {
+fn give_back(core: &Core, engine: &Instance, place: ReservationId, ending: Option<Outcome>) {
     let Some((name, owner)) = owner(core, engine) else {
         return;
     };
@@ -281,20 +281,20 @@
     let taken = match question.room {
         Admission::Always => true,
         Admission::Inspect => false,
-        Admission::QueueLimit(limit) => open && load.has_room(slots, u64::from(limit)),
+        Admission::QueueLimit(limit) => open && load.has_capacity(slots, u64::from(limit)),
     };
     let family = family(upstream, &shared);
-    let stored = family.is_some_and(|family| upstream.account.is_sent(family, now));
+    let stored = family.is_some_and(|family| upstream.account.is_stored(family, now));
     let mut send_to_store = false;
     if taken {
         send_to_store = family.is_some_and(|family| {
             upstream
                 .account
-                .send_due(family, u64::from(question.own) <= all / 2, now)
+                .schedule_store_send(family, u64::from(question.own) <= all / 2, now)
         });
         let read = u64::from(question.own) + if stored { 0 } else { all - found };
         let until = now + Duration::from_millis(question.left_ms.into());
-        upstream.account.take(question.place, read, until);
+        upstream.account.reserve(question.place, read, until);
         upstream.health.note_sent();
         upstream.cache.insert(shared.into_iter(), u64::from(question.own));
     }
@@ -305,7 +305,7 @@
         weights: upstream.entry.models.first().map_or(0, |loaded| loaded.version),
         taken,
         running: load.running,
-        waiting: saturating_cast(load.waiting),
+        waiting: saturating_cast(load.queued_tokens),
         found: saturating_cast(found),
         send_to_store,
         stored,
@@ -336,10 +336,10 @@
         return false;
     };
     if returned.ending.is_none() {
-        upstream.account.begin(returned.place);
+        upstream.account.record_first_token(returned.place);
         return false;
     }
-    upstream.account.end(returned.place)
+    upstream.account.release(returned.place)
 }
 
 /// Judges an engine by how a request of another box has ended there.
--- a/crates/jb-relay/src/settings.rs
+++ b/crates/jb-relay/src/settings.rs
@@ -94,7 +94,7 @@
             old_weights_grace: Duration::from_secs(10),
             quota_tolerance: Tolerance {
                 window: Duration::from_secs(8),
-                over: 0.1,
+                overrun_ratio: 0.1,
                 slack: 0.0,
             },
             heartbeat_interval: Duration::from_millis(1200),
--- a/crates/jb-relay/src/upstream/state.rs
+++ b/crates/jb-relay/src/upstream/state.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use jb_policy::Moment;
-use jb_policy::account::Account;
 use jb_policy::backoff::Backoff;
 use jb_policy::health::Health;
 use jb_policy::placement::Candidate;
 use jb_policy::prefix_cache::PrefixCache;
 use jb_policy::rate_limit::Limit;
+use jb_policy::reservation::Reservations;
 
 use super::{Criteria, Instance};
 use crate::link::Idle;
@@ -59,7 +59,7 @@
     /// Model of its prefix cache.
     pub cache: PrefixCache,
     /// Its account, where this box keeps it.
-    pub account: Account,
+    pub account: Reservations,
     /// Idle connections, the last used at the end.
     pub idle: Vec<Idle>,
 }
@@ -95,7 +95,7 @@
             refused: false,
             draining_by_peer: false,
             cache: PrefixCache::default(),
-            account: Account::default(),
+            account: Reservations::default(),
             idle: Vec::new(),
         }
     }
