--- a/crates/jb-daemon/src/admin/explain.rs
+++ b/crates/jb-daemon/src/admin/explain.rs
@@ -4,7 +4,7 @@
 
 use jb_policy::call::Call;
 use jb_policy::hall;
-use jb_policy::route::Ask;
+use jb_policy::route::Query;
 use jb_protocol::admin::{Explanation, Question};
 use jb_protocol::error::Kind;
 use poem::web::{Data, Json};
@@ -34,7 +34,7 @@
         return refusal::answer(&refusal::document(&refused, ""));
     };
     let family = resolved.chain.family;
-    let ask = Ask {
+    let ask = Query {
         chain: resolved.chain.as_ref().clone(),
         class: resolved.route.priority,
         deadline: resolved.route.deadline,
@@ -50,7 +50,7 @@
         prompt_tokens: ask.chain.tokens,
         family_tokens: family.tokens,
         point: hall::point(&resolved.route.id, family.hash),
-        hall: hall::wanted(&resolved.route, family.hash)
+        hall: hall::assigned(&resolved.route, family.hash)
             .unwrap_or(&context.settings.hall)
             .to_owned(),
         weighing,
--- a/crates/jb-daemon/src/decide/message.rs
+++ b/crates/jb-daemon/src/decide/message.rs
@@ -4,7 +4,7 @@
 
 use jb_policy::customer_limit::{Admitted, Exceeded};
 use jb_policy::hall::Summary;
-use jb_policy::route::{Ask, Choice, Permit, Refused};
+use jb_policy::route::{Choice, Permit, Query, Rejection};
 use jb_policy::signal::Signals;
 use jb_policy::stream::Start;
 use jb_protocol::admin::Weighing;
@@ -28,11 +28,11 @@
     /// Service.
     pub service: id::Service,
     /// The request.
-    pub ask: Ask,
+    pub ask: Query,
     /// Whether this is a retry, to be taken from the budget.
     pub retry: bool,
     /// Where to answer.
-    pub reply: oneshot::Sender<Result<Choice, Refused>>,
+    pub reply: oneshot::Sender<Result<Choice, Rejection>>,
 }
 
 /// Asks how the upstreams weigh, for operators.
@@ -40,7 +40,7 @@
     /// Service.
     pub service: id::Service,
     /// The request.
-    pub ask: Ask,
+    pub ask: Query,
     /// Where to answer.
     pub reply: oneshot::Sender<Weighing>,
 }
@@ -52,7 +52,7 @@
     /// Upstream.
     pub upstream: id::Upstream,
     /// The request.
-    pub ask: Arc<Ask>,
+    pub ask: Arc<Query>,
     /// The start.
     pub start: Start,
 }
--- a/crates/jb-daemon/src/decide/ring.rs
+++ b/crates/jb-daemon/src/decide/ring.rs
@@ -2,7 +2,7 @@
 
 use jb_policy::customer_limit::{Admitted, Exceeded};
 use jb_policy::rate_limit::Announcement;
-use jb_policy::route::{Ask, Choice, Permit, Refused};
+use jb_policy::route::{Choice, Permit, Query, Rejection};
 use jb_policy::signal::Signals;
 use jb_protocol::admin::Weighing;
 use tokio::sync::{mpsc, oneshot};
@@ -99,9 +99,9 @@
     pub async fn choose(
         &self,
         service: &str,
-        ask: &Ask,
+        ask: &Query,
         retry: bool,
-    ) -> Result<Result<(Choice, Ticket), Refused>, Full> {
+    ) -> Result<Result<(Choice, Ticket), Rejection>, Full> {
         let permit = self.reserve()?;
         let (reply, answer) = oneshot::channel();
         self.send(Message::Choose(Choosing {
@@ -129,7 +129,7 @@
     ///
     /// # Errors
     /// [`Full`].
-    pub async fn explain(&self, service: &str, ask: &Ask) -> Result<Weighing, Full> {
+    pub async fn explain(&self, service: &str, ask: &Query) -> Result<Weighing, Full> {
         let (reply, answer) = oneshot::channel();
         self.send(Message::Explain(Explanation {
             service: service.to_owned(),
--- a/crates/jb-daemon/src/decide/worker.rs
+++ b/crates/jb-daemon/src/decide/worker.rs
@@ -9,7 +9,7 @@
 use jb_policy::hall::Summary;
 use jb_policy::health::Change;
 use jb_policy::rendezvous;
-use jb_policy::route::{Choice, Permit, Pool, Refused};
+use jb_policy::route::{Choice, Permit, Pool, Rejection};
 use jb_policy::signal::Signals;
 use jb_protocol::error::Kind;
 use jb_protocol::{event, id};
@@ -112,15 +112,15 @@
         let now = self.clock.now();
         let result = match self.pools.get_mut(&choosing.service) {
             Some(pool) => choose_in(pool, &choosing, self.boxes, now),
-            None => Err(Refused {
+            None => Err(Rejection {
                 kind: Kind::NoUpstream,
-                after: std::time::Duration::from_secs(2),
+                retry_after: std::time::Duration::from_secs(2),
             }),
         };
         if let Err(Ok(choice)) = choosing.reply.send(result)
             && let Some(pool) = self.pools.get_mut(&choosing.service)
         {
-            pool.abandoned(&choice.upstream);
+            pool.record_abandonment(&choice.upstream);
         }
     }
 
@@ -135,7 +135,7 @@
         let Some(pool) = self.pools.get_mut(&started.service) else {
             return;
         };
-        if pool.started(&started.upstream, &started.ask.chain, &started.start, now) {
+        if pool.record_start(&started.upstream, &started.ask.chain, &started.start, now) {
             self.log_incarnation(&started.upstream);
         }
     }
@@ -160,14 +160,14 @@
             return;
         };
         let change = match outcome {
-            Outcome::Succeeded => pool.succeeded(upstream),
-            Outcome::Failed => pool.failed(upstream, now),
+            Outcome::Succeeded => pool.record_success(upstream),
+            Outcome::Failed => pool.record_failure(upstream, now),
             Outcome::Abandoned => {
-                pool.abandoned(upstream);
+                pool.record_abandonment(upstream);
                 Change::None
             }
             Outcome::Denied => {
-                pool.denied(upstream, now);
+                pool.record_denial(upstream, now);
                 Change::None
             }
         };
@@ -198,7 +198,7 @@
             return;
         };
         let was_leaving = pool.upstream_mut(upstream).is_some_and(|u| u.leaving.by_itself);
-        let new = pool.reported(upstream, report, now);
+        let new = pool.record_report(upstream, report, now);
         if report.leaving && !was_leaving {
             emit!(self.logger, info, event::UPSTREAM_DRAINING, "upstream" => upstream, "by" => "itself");
         }
@@ -268,7 +268,7 @@
                     hall: self.hall.clone(),
                     // The own hall is worth a try even when all have failed.
                     usable: pool.upstreams().iter().any(|u| u.is_willing(now)),
-                    wait_ms: u32::try_from(pool.least_wait(now).as_millis()).unwrap_or(u32::MAX),
+                    wait_ms: u32::try_from(pool.min_wait(now).as_millis()).unwrap_or(u32::MAX),
                 },
                 usable: u32::try_from(usable).unwrap_or(u32::MAX),
                 leaving: leaving.map(|u| u.id.clone()).collect(),
@@ -283,15 +283,15 @@
     choosing: &Choosing,
     boxes: u32,
     now: jb_policy::Moment,
-) -> Result<Choice, Refused> {
-    if choosing.retry && !pool.spend_retry(boxes, now) {
-        return Err(Refused {
+) -> Result<Choice, Rejection> {
+    if choosing.retry && !pool.try_spend_retry(boxes, now) {
+        return Err(Rejection {
             kind: Kind::UpstreamRefused,
-            after: std::time::Duration::from_secs(1),
+            retry_after: std::time::Duration::from_secs(1),
         });
     }
     if !choosing.retry {
-        pool.earn_retries(now);
+        pool.record_request(now);
     }
     pool.choose(&choosing.ask, now)
 }
--- a/crates/jb-daemon/src/leader.rs
+++ b/crates/jb-daemon/src/leader.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use jb_platform::port::Grant;
-use jb_policy::leader::{self, LEASE, Leader, Loaded, Planned, Wanted};
+use jb_policy::leader::{self, Desired, LEASE_DURATION, Leader, Loaded, PlannedOrder};
 use jb_protocol::event;
 use jb_protocol::platform::Hold;
 use jb_protocol::service::Kind;
@@ -41,13 +41,13 @@
     }
     let hold = Hold {
         holder: context.settings.id.clone(),
-        ttl_ms: u64::try_from(LEASE.as_millis()).unwrap_or(0),
+        ttl_ms: u64::try_from(LEASE_DURATION.as_millis()).unwrap_or(0),
     };
     let asked_at = context.clock.now();
     context.metrics.platform_calls.inc();
-    match context.platform.hold(&leader::lease(hall), &hold).await {
+    match context.platform.hold(&leader::lease_name(hall), &hold).await {
         Ok(Grant::Held(lease)) => {
-            if state.granted(&lease, asked_at) {
+            if state.record_grant(&lease, asked_at) {
                 emit!(context.logger, info, event::LEADER_ELECTED, "fence" => lease.fence);
             }
         }
@@ -58,7 +58,7 @@
 }
 
 fn note_lost(context: &Context, state: &mut Leader) {
-    if state.lost() {
+    if state.step_down() {
         emit!(context.logger, info, event::LEADER_LOST);
     }
 }
@@ -92,7 +92,7 @@
             .iter()
             .filter(|u| u.hall == context.settings.hall)
         {
-            if !state.may_order(context.clock.now()) {
+            if !state.can_order(context.clock.now()) {
                 return;
             }
             check_engine(context, state, service, upstream).await;
@@ -105,7 +105,7 @@
     let Ok(report) = context.engines.report(upstream.address).await else {
         return;
     };
-    let wanted = Wanted {
+    let wanted = Desired {
         upstream: upstream.id.clone(),
         model: service.model.clone(),
         weights: service.weights.clone(),
@@ -115,7 +115,7 @@
         model: report.model,
         weights: report.weights,
     };
-    let Some(Planned { order, .. }) = state.plan(&wanted, &loaded, context.clock.now()) else {
+    let Some(PlannedOrder { order, .. }) = state.plan(&wanted, &loaded, context.clock.now()) else {
         return;
     };
     let outcome = match context.engines.order(upstream.address, &order).await {
--- a/crates/jb-daemon/src/run/attempt.rs
+++ b/crates/jb-daemon/src/run/attempt.rs
@@ -5,7 +5,7 @@
 
 use futures_util::StreamExt as _;
 use jb_policy::call::Denial;
-use jb_policy::route::Ask;
+use jb_policy::route::Query;
 use jb_policy::stream::{Reader, Step};
 use jb_protocol::error::{Kind, Outcome as Ran};
 use jb_protocol::problem::Document;
@@ -78,7 +78,7 @@
     /// Engine.
     pub upstream: id::Upstream,
     /// The request as it was decided on.
-    pub ask: Arc<Ask>,
+    pub ask: Arc<Query>,
     /// The engine's frames.
     pub frames: Frames,
     /// Check of the frames.
--- a/crates/jb-daemon/src/run/plain.rs
+++ b/crates/jb-daemon/src/run/plain.rs
@@ -4,7 +4,7 @@
 
 use jb_policy::call::{Call, Denied, Refusal, Sent, Unsent};
 use jb_policy::prefix::Chain;
-use jb_policy::route::Ask;
+use jb_policy::route::Query;
 use jb_protocol::error::Kind;
 use jb_protocol::event;
 use jb_protocol::priority::Priority;
@@ -85,7 +85,7 @@
     call: Call<Unsent>,
     deadline: Duration,
 ) -> Result<Answer, Refusal> {
-    let mut ask = Ask {
+    let mut ask = Query {
         chain: Chain::default(),
         class: Priority::Normal,
         deadline,
@@ -102,7 +102,7 @@
             Err(full) => return Err(standing.give_up(Kind::Busy, &full.to_string())),
             Ok(Err(none)) => {
                 let refusal = standing.give_up(none.kind, "no upstream is left to try");
-                return Err(refusal.with_after(none.after));
+                return Err(refusal.with_after(none.retry_after));
             }
             Ok(Ok(chosen)) => chosen,
         };
--- a/crates/jb-daemon/src/run/session/pick.rs
+++ b/crates/jb-daemon/src/run/session/pick.rs
@@ -2,11 +2,10 @@
 
 use std::time::Duration;
 
-use jb_policy::cell;
-use jb_policy::hall;
 use jb_policy::member::Member;
 use jb_policy::poison::{EngineId, Verdict};
-use jb_policy::route::{Ask, Permit};
+use jb_policy::route::{Permit, Query};
+use jb_policy::{cell, hall};
 use jb_protocol::error::Kind;
 use jb_protocol::id;
 use jb_protocol::service::Policy;
@@ -41,8 +40,8 @@
 
 impl Session {
     /// The request as the decisions see it.
-    pub(super) fn ask(&self) -> Ask {
-        Ask {
+    pub(super) fn ask(&self) -> Query {
+        Query {
             chain: self.request.chain.as_ref().clone(),
             class: self.request.class,
             deadline: self.request.deadline,
@@ -112,7 +111,7 @@
                     .map(|s| s.summary),
             );
         }
-        hall::order(&self.request.route, self.request.chain.family.hash, &own, &halls)
+        hall::preference_order(&self.request.route, self.request.chain.family.hash, &own, &halls)
     }
 
     async fn pick_engine(&mut self) -> Result<Target, NoTarget> {
@@ -128,7 +127,7 @@
             }),
             Ok(Err(refused)) => Err(NoTarget {
                 kind: refused.kind,
-                after: Some(refused.after),
+                after: Some(refused.retry_after),
             }),
             Ok(Ok((choice, ticket))) => Ok(Target::Engine {
                 instance: quarantine::engine(&choice.upstream, choice.incarnation),
--- a/crates/jb-policy/benches/decide.rs
+++ b/crates/jb-policy/benches/decide.rs
@@ -11,7 +11,7 @@
 use jb_policy::idempotency::{Reservation, Shard};
 use jb_policy::member::{Member, Members};
 use jb_policy::prefix::{Chain, Scope};
-use jb_policy::route::{Ask, Pool};
+use jb_policy::route::{Pool, Query};
 use jb_policy::stream::Start;
 use jb_protocol::engine::Load;
 use jb_protocol::priority::Priority;
@@ -39,7 +39,7 @@
     View::compile(&tree, 1).services["s"].clone()
 }
 
-fn ask(n: usize) -> Ask {
+fn ask(n: usize) -> Query {
     let customer = format!("c{}", n % CUSTOMERS);
     let scope = Scope {
         customer: &customer,
@@ -51,7 +51,7 @@
         format!("template {} ", n % 4).repeat(300),
         format!("event {n} ").repeat(150),
     ];
-    Ask {
+    Query {
         chain: Chain::new(&scope, &[levels.as_slice(), &["now".to_owned()]].concat()),
         class: Priority::Normal,
         deadline: Duration::from_secs(3600),
@@ -60,7 +60,7 @@
 }
 
 fn choice(criterion: &mut Criterion) {
-    let asks: Vec<Ask> = (0..1000).map(ask).collect();
+    let asks: Vec<Query> = (0..1000).map(ask).collect();
     for engines in ENGINES {
         let mut pool = Pool::new(&service(engines), "h");
         let mut n = 0_u64;
@@ -71,14 +71,14 @@
                 let chosen = pool
                     .choose(black_box(ask), Duration::from_secs(n))
                     .expect("an upstream");
-                pool.abandoned(&chosen.upstream);
+                pool.record_abandonment(&chosen.upstream);
             });
         });
     }
 }
 
 fn fact(criterion: &mut Criterion) {
-    let asks: Vec<Ask> = (0..1000).map(ask).collect();
+    let asks: Vec<Query> = (0..1000).map(ask).collect();
     let mut pool = Pool::new(&service(9), "h");
     let start = Start {
         incarnation: 1,
@@ -91,7 +91,7 @@
         bencher.iter(|| {
             n += 1;
             let ask = &asks[n as usize % asks.len()];
-            pool.started("s/e1", black_box(&ask.chain), &start, Duration::from_secs(n));
+            pool.record_start("s/e1", black_box(&ask.chain), &start, Duration::from_secs(n));
         });
     });
 }
--- a/crates/jb-policy/src/load.rs
+++ b/crates/jb-policy/src/backlog.rs
@@ -39,7 +39,7 @@
     }
 
     /// Counts a request that this box sends now.
-    pub fn send(&mut self, class: Priority, cost: Duration, now: Moment) {
+    pub fn record_send(&mut self, class: Priority, cost: Duration, now: Moment) {
         let send = Send { at: now, class, cost };
         self.add(&send);
         self.sends.push_back(send);
@@ -47,7 +47,7 @@
     }
 
     /// Takes a report that was true at `taken_at`; older ones are ignored.
-    pub fn report(&mut self, load: &Load, taken_at: Moment) {
+    pub fn apply_report(&mut self, load: &Load, taken_at: Moment) {
         if taken_at < self.reported_at {
             return;
         }
--- a/crates/jb-policy/src/election.rs
+++ b/crates/jb-policy/src/election.rs
@@ -13,7 +13,7 @@
 const LATER_PAUSE: Duration = Duration::from_millis(25);
 
 /// Returns for how long a box waits before which so many others are preferred.
-pub fn pause(rank: usize) -> Duration {
+pub fn delay(rank: usize) -> Duration {
     let steps = |ranks: usize| u32::try_from(ranks).unwrap_or(u32::MAX);
     let preferred = PREFERRED_PAUSE * steps(rank.min(PREFERRED));
     preferred + LATER_PAUSE.saturating_mul(steps(rank.saturating_sub(PREFERRED)))
--- a/crates/jb-policy/src/hall.rs
+++ b/crates/jb-policy/src/hall.rs
@@ -33,15 +33,15 @@
 ///
 /// The first is where the tree wants the family; the others follow by their
 /// waiting work, so that a lost hall costs no request that another can serve.
-pub fn order(route: &Route, family: Hash, own: &str, halls: &[Summary]) -> Vec<id::Hall> {
-    let wanted = wanted(route, family).unwrap_or(own);
+pub fn preference_order(route: &Route, family: Hash, own: &str, halls: &[Summary]) -> Vec<id::Hall> {
+    let assigned = assigned(route, family).unwrap_or(own);
     let mut usable: Vec<&Summary> = halls.iter().filter(|h| h.usable).collect();
-    usable.sort_by_key(|h| (h.hall != wanted, h.hall != own, h.wait_ms, h.hall.clone()));
+    usable.sort_by_key(|h| (h.hall != assigned, h.hall != own, h.wait_ms, h.hall.clone()));
     usable.into_iter().map(|h| h.hall.clone()).collect()
 }
 
 /// The hall where the tree wants a family.
-pub fn wanted(route: &Route, family: Hash) -> Option<&str> {
+pub fn assigned(route: &Route, family: Hash) -> Option<&str> {
     let home = route.home.as_deref()?;
     match route.target.as_deref() {
         Some(target) if point(&route.id, family) < route.share => Some(target),
--- a/crates/jb-policy/src/leader.rs
+++ b/crates/jb-policy/src/leader.rs
@@ -19,26 +19,29 @@
 use crate::rendezvous;
 
 /// Time for which the lease is asked.
-pub const LEASE: Duration = Duration::from_secs(6);
+pub const LEASE_DURATION: Duration = Duration::from_secs(6);
 /// Longest time from the decision on an order to its arrival.
-const ORDER: Duration = Duration::from_secs(2);
+const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time after which an order that shows no effect is given again.
-const AGAIN: Duration = Duration::from_secs(5);
+const ORDER_RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Name of a hall's lease.
-pub fn lease(hall: &str) -> String {
+pub fn lease_name(hall: &str) -> String {
     format!("steward/{hall}")
 }
 
 /// How much a box is preferred as leader; only the most preferred live box
 /// asks for the lease, so the platform gets one call for a hall.
 pub fn preference(hall: &str, name: &str) -> u64 {
-    rendezvous::weight(rendezvous::name_hash(&lease(hall)), rendezvous::name_hash(name))
+    rendezvous::weight(
+        rendezvous::name_hash(&lease_name(hall)),
+        rendezvous::name_hash(name),
+    )
 }
 
 /// What an engine is to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wanted {
+pub struct Desired {
     /// Engine.
     pub upstream: id::Upstream,
     /// Model.
@@ -60,7 +63,7 @@
 
 /// An order to be given now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Planned {
+pub struct PlannedOrder {
     /// Engine.
     pub upstream: id::Upstream,
     /// The order.
@@ -84,7 +87,7 @@
 impl Leader {
     /// Takes a lease that was asked for at `asked_at`; `true` when the box
     /// was not leader before.
-    pub fn granted(&mut self, lease: &Lease, asked_at: Moment) -> bool {
+    pub fn record_grant(&mut self, lease: &Lease, asked_at: Moment) -> bool {
         let until = asked_at + Duration::from_millis(lease.ttl_ms);
         let same = self.term.filter(|term| term.fence == lease.fence);
         let since = same.map_or(asked_at, |term| term.since);
@@ -100,38 +103,38 @@
     }
 
     /// Notes that the box is not leader; `true` when it was.
-    pub fn lost(&mut self) -> bool {
+    pub fn step_down(&mut self) -> bool {
         self.term.take().is_some()
     }
 
     /// Whether an order that is decided on now arrives within the lease.
-    pub fn may_order(&self, now: Moment) -> bool {
-        self.term.is_some_and(|term| now + ORDER < term.until)
+    pub fn can_order(&self, now: Moment) -> bool {
+        self.term.is_some_and(|term| now + ORDER_TIMEOUT < term.until)
     }
 
-    /// The order for an engine that reports something other than is wanted.
-    pub fn plan(&mut self, wanted: &Wanted, loaded: &Loaded, now: Moment) -> Option<Planned> {
-        let term = self.term.filter(|term| now + ORDER < term.until)?;
-        if loaded.model == wanted.model && loaded.weights == wanted.weights {
-            self.ordered.remove(&wanted.upstream);
+    /// The order for an engine that reports something other than is desired.
+    pub fn plan(&mut self, desired: &Desired, loaded: &Loaded, now: Moment) -> Option<PlannedOrder> {
+        let term = self.term.filter(|term| now + ORDER_TIMEOUT < term.until)?;
+        if loaded.model == desired.model && loaded.weights == desired.weights {
+            self.ordered.remove(&desired.upstream);
             return None;
         }
         // An order of the leader before may still be on its way.
-        if !wanted.checks_fence && now < term.since + LEASE + ORDER {
+        if !desired.checks_fence && now < term.since + LEASE_DURATION + ORDER_TIMEOUT {
             return None;
         }
-        let before = self.ordered.get(&wanted.upstream);
-        if before.is_some_and(|at| now < *at + AGAIN) {
+        let before = self.ordered.get(&desired.upstream);
+        if before.is_some_and(|at| now < *at + ORDER_RETRY_INTERVAL) {
             return None;
         }
-        self.ordered.insert(wanted.upstream.clone(), now);
-        let left = term.until.saturating_sub(now).min(ORDER);
-        Some(Planned {
-            upstream: wanted.upstream.clone(),
+        self.ordered.insert(desired.upstream.clone(), now);
+        let left = term.until.saturating_sub(now).min(ORDER_TIMEOUT);
+        Some(PlannedOrder {
+            upstream: desired.upstream.clone(),
             order: Order {
                 fence: term.fence,
-                model: wanted.model.clone(),
-                weights: wanted.weights.clone(),
+                model: desired.model.clone(),
+                weights: desired.weights.clone(),
                 expires_ms: u64::try_from(left.as_millis()).unwrap_or(0),
             },
         })
--- a/crates/jb-policy/src/lib.rs
+++ b/crates/jb-policy/src/lib.rs
@@ -5,6 +5,7 @@
 //! [`Moment`]s, durations since a start of the caller's choice.
 
 pub mod admission;
+pub mod backlog;
 pub mod backoff;
 pub mod call;
 pub mod cell;
@@ -16,7 +17,6 @@
 pub mod health;
 pub mod idempotency;
 pub mod leader;
-pub mod load;
 pub mod member;
 pub mod outage;
 pub mod placement;
--- a/crates/jb-policy/src/route/mod.rs
+++ b/crates/jb-policy/src/route/mod.rs
@@ -14,7 +14,7 @@
 
 /// A request as the choice sees it.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct Query {
     /// Prefixes of the prompt.
     pub chain: Chain,
     /// Priority class.
@@ -51,9 +51,9 @@
 
 /// Why no upstream was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused {
+pub struct Rejection {
     /// Kind of error.
     pub kind: Kind,
     /// When to come back.
-    pub after: Duration,
+    pub retry_after: Duration,
 }
--- a/crates/jb-policy/src/route/pool.rs
+++ b/crates/jb-policy/src/route/pool.rs
@@ -13,7 +13,7 @@
 use jb_tree::view::Service;
 
 use self::weigh::Weighed;
-use super::{Ask, Choice, Permit, Refused};
+use super::{Choice, Permit, Query, Rejection};
 use crate::health::Change;
 use crate::prefix::Chain;
 use crate::prefix_index::{EngineIndex, PrefixIndex};
@@ -100,7 +100,7 @@
     }
 
     /// The least waiting time of any usable upstream.
-    pub fn least_wait(&self, now: Moment) -> Duration {
+    pub fn min_wait(&self, now: Moment) -> Duration {
         let usable = self.upstreams.iter().filter(|u| u.is_usable(now));
         usable
             .map(|u| u.backlog.wait(Priority::Normal, now))
@@ -118,12 +118,12 @@
     }
 
     /// Notes a new request, which brings its share of retries.
-    pub fn earn_retries(&mut self, now: Moment) {
+    pub fn record_request(&mut self, now: Moment) {
         self.budget.record_request(now, RETRY_WINDOW);
     }
 
     /// Takes one retry of this box's share of the budget; `false` when it is spent.
-    pub fn spend_retry(&mut self, boxes: u32, now: Moment) -> bool {
+    pub fn try_spend_retry(&mut self, boxes: u32, now: Moment) -> bool {
         let boxes = boxes.max(1);
         let bound = Config {
             ratio: f64::from(self.service.retry_percent) / 100.0,
@@ -137,13 +137,13 @@
     ///
     /// # Errors
     /// Why there is none, and when to come back.
-    pub fn choose(&mut self, ask: &Ask, now: Moment) -> Result<Choice, Refused> {
+    pub fn choose(&mut self, ask: &Query, now: Moment) -> Result<Choice, Rejection> {
         let weighed = self.weigh(ask, now);
         let best = self.pick(&weighed, ask);
         let Some(best) = best else {
-            return Err(Refused {
+            return Err(Rejection {
                 kind: Kind::NoUpstream,
-                after: self.first_back(now).unwrap_or(NO_UPSTREAM_PAUSE),
+                retry_after: self.first_back(now).unwrap_or(NO_UPSTREAM_PAUSE),
             });
         };
         self.admit(best, ask)?;
@@ -161,7 +161,7 @@
         let missing = ask.chain.tokens - best.cached;
         let cost = self.prefill(missing);
         let upstream = &mut self.upstreams[best.index];
-        upstream.backlog.send(ask.class, cost, now);
+        upstream.backlog.record_send(ask.class, cost, now);
         upstream.health.note_sent();
         upstream.open += 1;
         // What is on its way counts as cached: the next prompt with the same
@@ -174,11 +174,11 @@
     }
 
     /// Counts a request against the rate limit of an upstream.
-    fn take_permit(&mut self, index: usize, now: Moment) -> Result<(), Refused> {
+    fn take_permit(&mut self, index: usize, now: Moment) -> Result<(), Rejection> {
         let taken = self.upstreams[index].limit_mut().take(now);
-        taken.map_err(|after| Refused {
+        taken.map_err(|retry_after| Rejection {
             kind: Kind::NoUpstream,
-            after,
+            retry_after,
         })
     }
 
@@ -189,7 +189,7 @@
     }
 
     /// Weighs the upstreams without choosing, for operators.
-    pub fn explain(&self, ask: &Ask, now: Moment) -> Weighing {
+    pub fn explain(&self, ask: &Query, now: Moment) -> Weighing {
         let mut weighed = self.weigh(ask, now);
         weighed.sort_by(|a, b| a.cost.total_cmp(&b.cost));
         let show = |w: Weighed| Candidate {
@@ -207,7 +207,7 @@
 
     /// Takes the start of an answer: the engine's incarnation, its load, and
     /// how much of the prompt it had cached.
-    pub fn started(&mut self, id: &str, chain: &Chain, start: &Start, now: Moment) -> bool {
+    pub fn record_start(&mut self, id: &str, chain: &Chain, start: &Start, now: Moment) -> bool {
         let Some(index) = self.index_of(id) else {
             return false;
         };
@@ -215,7 +215,7 @@
         let new = upstream.note_incarnation(start.incarnation);
         upstream
             .backlog
-            .report(&start.load, now.saturating_sub(ANSWER_AGE));
+            .apply_report(&start.load, now.saturating_sub(ANSWER_AGE));
         let holder = upstream.holder(engine_index(index));
         self.prefix_index
             .remove_beyond(chain, holder.engine, start.cached_tokens);
@@ -224,7 +224,7 @@
     }
 
     /// Takes an engine's report; `true` when it shows a new incarnation.
-    pub fn reported(&mut self, id: &str, report: &Report, now: Moment) -> bool {
+    pub fn record_report(&mut self, id: &str, report: &Report, now: Moment) -> bool {
         let (model, weights) = (self.service.model.clone(), self.service.weights.clone());
         self.upstream_mut(id)
             .is_some_and(|u| u.note_report(report, &model, &weights, now))
@@ -242,25 +242,25 @@
     }
 
     /// Notes that a request ended well.
-    pub fn succeeded(&mut self, id: &str) -> Change {
+    pub fn record_success(&mut self, id: &str) -> Change {
         self.close(id).map_or(Change::None, |u| u.health.note_success())
     }
 
     /// Notes that a request failed through the upstream's fault.
-    pub fn failed(&mut self, id: &str, now: Moment) -> Change {
+    pub fn record_failure(&mut self, id: &str, now: Moment) -> Change {
         self.close(id)
             .map_or(Change::None, |u| u.health.note_failure(now))
     }
 
     /// Notes that a request ended for another reason, such as a caller gone.
-    pub fn abandoned(&mut self, id: &str) {
+    pub fn record_abandonment(&mut self, id: &str) {
         if let Some(upstream) = self.close(id) {
             upstream.health.note_inconclusive();
         }
     }
 
     /// Notes that an upstream denied a request without running it.
-    pub fn denied(&mut self, id: &str, now: Moment) {
+    pub fn record_denial(&mut self, id: &str, now: Moment) {
         if let Some(upstream) = self.close(id) {
             upstream.health.note_inconclusive();
         }
@@ -283,17 +283,17 @@
         self.upstreams.iter().position(|u| u.id == id)
     }
 
-    fn admit(&self, best: &Weighed, ask: &Ask) -> Result<(), Refused> {
+    fn admit(&self, best: &Weighed, ask: &Query) -> Result<(), Rejection> {
         if best.wait > self.service.max_wait {
-            return Err(Refused {
+            return Err(Rejection {
                 kind: Kind::Overloaded,
-                after: best.wait - self.service.max_wait,
+                retry_after: best.wait - self.service.max_wait,
             });
         }
         if best.expected > ask.deadline {
-            return Err(Refused {
+            return Err(Rejection {
                 kind: Kind::DeadlineUnreachable,
-                after: best.expected - ask.deadline,
+                retry_after: best.expected - ask.deadline,
             });
         }
         Ok(())
--- a/crates/jb-policy/src/route/pool/weigh.rs
+++ b/crates/jb-policy/src/route/pool/weigh.rs
@@ -8,7 +8,7 @@
 use super::{Pool, cell_count};
 use crate::prefix::Chain;
 use crate::prefix_index::{Holder, Match};
-use crate::route::Ask;
+use crate::route::Query;
 use crate::{Moment, cell, rendezvous};
 
 /// Upstreams weighed beside those of the cell.
@@ -46,7 +46,7 @@
     }
 
     /// Weighs every upstream that the request may go to.
-    pub(super) fn weigh(&self, ask: &Ask, now: Moment) -> Vec<Weighed> {
+    pub(super) fn weigh(&self, ask: &Query, now: Moment) -> Vec<Weighed> {
         let known = self
             .prefix_index
             .lookup(&ask.chain, |holder| self.still_holds(holder));
@@ -60,7 +60,7 @@
     }
 
     /// Those of the upstreams that may get the request now.
-    fn open_to(&self, ask: &Ask, mut indexes: Vec<usize>, now: Moment) -> Vec<usize> {
+    fn open_to(&self, ask: &Query, mut indexes: Vec<usize>, now: Moment) -> Vec<usize> {
         // With every one left out after failures, trying one beats refusing.
         let usable = |index: &usize| self.upstreams[*index].is_usable(now);
         if indexes.iter().any(usable) {
@@ -88,7 +88,7 @@
 
     /// The engines of the prompt's cell, those known to hold a prefix of it,
     /// and a few of other cells for when the own cell has too much work.
-    fn candidates(&self, ask: &Ask, known: &[Match]) -> Vec<usize> {
+    fn candidates(&self, ask: &Query, known: &[Match]) -> Vec<usize> {
         if self.cells.len() <= 1 || self.service.policy != Policy::Junctionbend {
             return (0..self.upstreams.len()).collect();
         }
@@ -109,7 +109,7 @@
     fn weigh_one(
         &self,
         index: usize,
-        ask: &Ask,
+        ask: &Query,
         known: &[Match],
         home: Option<usize>,
         now: Moment,
@@ -139,7 +139,7 @@
     }
 
     /// The upstream that the service's policy prefers.
-    pub(super) fn pick<'w>(&self, weighed: &'w [Weighed], ask: &Ask) -> Option<&'w Weighed> {
+    pub(super) fn pick<'w>(&self, weighed: &'w [Weighed], ask: &Query) -> Option<&'w Weighed> {
         let policy = match self.service.kind {
             service::Kind::Engine => self.service.policy,
             service::Kind::Plain => Policy::LeastLoaded,
@@ -164,7 +164,7 @@
     }
 
     /// Smaller for upstreams that placement prefers for the family.
-    fn rank(&self, weighed: &Weighed, ask: &Ask) -> u64 {
+    fn rank(&self, weighed: &Weighed, ask: &Query) -> u64 {
         u64::MAX - rendezvous::weight(ask.chain.family.hash, self.upstreams[weighed.index].hash)
     }
 }
--- a/crates/jb-policy/src/upstream.rs
+++ b/crates/jb-policy/src/upstream.rs
@@ -7,9 +7,9 @@
 use jb_protocol::id;
 use jb_protocol::token::TOKENS_PER_BLOCK;
 
+use crate::backlog::Backlog;
 use crate::backoff::Backoff;
 use crate::health::Health;
-use crate::load::Backlog;
 use crate::prefix_index::{EngineIndex, Epoch, Fill, Holder};
 use crate::pressure::Pressure;
 use crate::rate_limit::{Limiter, Rate};
@@ -244,7 +244,7 @@
         self.leaving.by_itself = report.leaving;
         self.fits = report.model == model && report.weights == weights;
         let age = Duration::from_millis(report.age_ms.into());
-        self.backlog.report(&report.load, now.saturating_sub(age));
+        self.backlog.apply_report(&report.load, now.saturating_sub(age));
         new
     }
 }
--- a/crates/jb-policy/tests/leader.rs
+++ b/crates/jb-policy/tests/leader.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use jb_policy::Moment;
-use jb_policy::leader::{Leader, Loaded, Wanted};
+use jb_policy::leader::{Desired, Leader, Loaded};
 use jb_protocol::platform::Lease;
 use quickcheck::{Arbitrary as _, Gen};
 
@@ -19,8 +19,8 @@
     }
 }
 
-fn wanted(checks_fence: bool) -> Wanted {
-    Wanted {
+fn wanted(checks_fence: bool) -> Desired {
+    Desired {
         upstream: "s/e".to_owned(),
         model: "m".to_owned(),
         weights: "w2".to_owned(),
@@ -43,7 +43,7 @@
 fn no_order_is_given_without_a_lease_or_near_its_end() {
     let mut leader = Leader::default();
     assert!(leader.plan(&wanted(true), &old(), at(0)).is_none());
-    leader.granted(&lease(1), at(0));
+    leader.record_grant(&lease(1), at(0));
     assert!(leader.plan(&wanted(true), &old(), at(TTL_MS - 1000)).is_none());
     let planned = leader.plan(&wanted(true), &old(), at(100)).expect("an order");
     assert_eq!((planned.order.fence, planned.order.weights.as_str()), (1, "w2"));
@@ -52,7 +52,7 @@
 #[test]
 fn a_frozen_leader_that_believes_in_its_lease_gives_no_order() {
     let mut leader = Leader::default();
-    leader.granted(&lease(1), at(0));
+    leader.record_grant(&lease(1), at(0));
     assert!(leader.plan(&wanted(true), &old(), at(60_000)).is_none());
 }
 
@@ -60,7 +60,7 @@
 fn an_engine_that_checks_nothing_gets_orders_only_after_the_old_ones_are_over() {
     let mut leader = Leader::default();
     for renewal in 0..4 {
-        leader.granted(&lease(2), at(renewal * 3000));
+        leader.record_grant(&lease(2), at(renewal * 3000));
     }
     assert!(leader.plan(&wanted(false), &old(), at(7900)).is_none());
     assert!(leader.plan(&wanted(false), &old(), at(9100)).is_some());
@@ -81,7 +81,7 @@
             if asks && (who == holder || now >= until) {
                 fence += u64::from(who != holder || now >= until);
                 (holder, until) = (who, now + at(TTL_MS));
-                boxes[who].granted(&lease(fence), now);
+                boxes[who].record_grant(&lease(fence), now);
             }
             let planned = boxes[who].plan(&wanted(true), &old(), now);
             assert!(planned.is_none() || (who == holder && now < until), "seed {seed}");
--- a/crates/jb-policy/tests/route.rs
+++ b/crates/jb-policy/tests/route.rs
@@ -6,7 +6,7 @@
 
 use jb_policy::health::Change;
 use jb_policy::prefix::{Chain, Scope};
-use jb_policy::route::{Ask, Choice, Pool};
+use jb_policy::route::{Choice, Pool, Query};
 use jb_policy::stream::Start;
 use jb_protocol::engine::{Load, Report};
 use jb_protocol::error::Kind;
@@ -26,7 +26,7 @@
     View::compile(&tree, 1).services["s"].clone()
 }
 
-fn ask(customer: &str, event: usize) -> Ask {
+fn ask(customer: &str, event: usize) -> Query {
     let scope = Scope {
         customer,
         model: "m",
@@ -37,7 +37,7 @@
         format!("event {event} ").repeat(300),
         "now".to_owned(),
     ];
-    Ask {
+    Query {
         chain: Chain::new(&scope, &levels),
         class: Priority::Normal,
         deadline: Duration::from_secs(30),
@@ -58,7 +58,7 @@
     }
 }
 
-fn choose(pool: &mut Pool, ask: &Ask, now: Duration) -> Choice {
+fn choose(pool: &mut Pool, ask: &Query, now: Duration) -> Choice {
     pool.choose(ask, now).expect("an upstream")
 }
 
@@ -96,7 +96,7 @@
     );
     let home = choose(&mut pool, &ask("ann", 1), at(0)).upstream;
     let start = start(1, 0);
-    pool.started(&home, &ask("ann", 1).chain, &start, at(300));
+    pool.record_start(&home, &ask("ann", 1).chain, &start, at(300));
     assert_eq!(choose(&mut pool, &ask("ann", 1), at(310)).upstream, home);
     let busy = Start {
         load: Load {
@@ -105,7 +105,7 @@
         },
         ..start
     };
-    pool.started(&home, &ask("ann", 1).chain, &busy, at(320));
+    pool.record_start(&home, &ask("ann", 1).chain, &busy, at(320));
     assert_ne!(choose(&mut pool, &ask("ann", 1), at(330)).upstream, home);
 }
 
@@ -114,7 +114,7 @@
     let mut pool = Pool::new(&service(4, ""), "h");
     let ask = ask("ann", 1);
     let home = choose(&mut pool, &ask, at(0)).upstream;
-    pool.started(&home, &ask.chain, &start(1, 0), at(100));
+    pool.record_start(&home, &ask.chain, &start(1, 0), at(100));
     let cached = |pool: &Pool| {
         let all = pool.explain(&ask, at(200));
         all.candidates
@@ -133,7 +133,7 @@
         load: Load::default(),
         fence: 0,
     };
-    assert!(pool.reported(&home, &report, at(150)));
+    assert!(pool.record_report(&home, &report, at(150)));
     assert_eq!(cached(&pool), Some(0));
 }
 
@@ -156,16 +156,16 @@
 fn failing_upstreams_are_left_out_and_return_one_request_at_a_time() {
     let mut pool = Pool::new(&service(2, ""), "h");
     let home = choose(&mut pool, &ask("ann", 1), at(0)).upstream;
-    pool.failed(&home, at(1));
+    pool.record_failure(&home, at(1));
     choose(&mut pool, &ask("ann", 1), at(2));
-    assert_eq!(pool.failed(&home, at(3)), Change::Ejected);
+    assert_eq!(pool.record_failure(&home, at(3)), Change::Ejected);
     assert_ne!(choose(&mut pool, &ask("ann", 1), at(10)).upstream, home);
     let later = at(600);
     let upstream = pool.upstream_mut(&home).expect("it is there");
     assert!(upstream.is_usable(later));
     upstream.health.note_sent();
     assert!(!upstream.is_usable(later));
-    assert_eq!(pool.succeeded(&home), Change::Returned);
+    assert_eq!(pool.record_success(&home), Change::Returned);
 }
 
 #[test]
@@ -173,20 +173,20 @@
     let mut pool = Pool::new(&service(1, ""), "h");
     for _ in 0..3 {
         let chosen = choose(&mut pool, &ask("ann", 1), at(0)).upstream;
-        pool.failed(&chosen, at(0));
+        pool.record_failure(&chosen, at(0));
     }
 }
 
 #[test]
 fn a_deadline_that_cannot_be_met_is_refused_at_once_with_a_time() {
     let mut pool = Pool::new(&service(1, "prefill_us_per_token = 1000.0"), "h");
-    let hurried = Ask {
+    let hurried = Query {
         deadline: at(100),
         ..ask("ann", 1)
     };
     let refused = pool.choose(&hurried, at(0)).expect_err("too slow");
     assert_eq!(refused.kind, Kind::DeadlineUnreachable);
-    assert!(refused.after > Duration::ZERO);
+    assert!(refused.retry_after > Duration::ZERO);
 }
 
 #[test]
@@ -204,11 +204,11 @@
 #[test]
 fn retries_are_a_share_of_the_requests_and_a_few_besides() {
     let mut pool = Pool::new(&service(4, ""), "h");
-    let spent = |pool: &mut Pool, now| (0..1000).take_while(|_| pool.spend_retry(2, now)).count();
+    let spent = |pool: &mut Pool, now| (0..1000).take_while(|_| pool.try_spend_retry(2, now)).count();
     assert_eq!(spent(&mut pool, at(0)), 20);
     assert_eq!(spent(&mut pool, at(5_000)), 0);
     for number in 0..500 {
-        pool.earn_retries(at(20_000 + number));
+        pool.record_request(at(20_000 + number));
     }
     let percent = service(4, "").retry_percent as usize;
     assert_eq!(spent(&mut pool, at(20_500)), 20 + 500 * percent * 8 / 1000);
--- a/crates/jb-policy/tests/spread.rs
+++ b/crates/jb-policy/tests/spread.rs
@@ -35,7 +35,7 @@
 fn a_growing_share_never_moves_a_family_back() {
     for family in 0..2000_u64 {
         let family = rendezvous::name_hash(&family.to_string());
-        let moved = |share| hall::wanted(&route(share), family) == Some("b");
+        let moved = |share| hall::assigned(&route(share), family) == Some("b");
         let gates = [0, 10, 25, 50, 100].map(moved);
         assert!(gates.is_sorted(), "{gates:?}");
         assert!(!gates[0] && gates[4]);
@@ -50,7 +50,7 @@
         wait_ms: 0,
     };
     let halls = [hall("a", false), hall("b", true)];
-    assert_eq!(hall::order(&route(0), 1, "a", &halls), ["b"]);
+    assert_eq!(hall::preference_order(&route(0), 1, "a", &halls), ["b"]);
 }
 
 #[test]
--- a/crates/jb-relay/src/leader/election.rs
+++ b/crates/jb-relay/src/leader/election.rs
@@ -26,7 +26,7 @@
         let since = self.vacant_since.get().unwrap_or(now);
         self.vacant_since.set(Some(since));
         let before = core.book.borrow().preferred_count(&core.settings.id, HOLDER, now);
-        if now < since + election::pause(before) {
+        if now < since + election::delay(before) {
             return;
         }
         if let Err(why) = self.elect().await {
