--- a/crates/jb-policy/src/admission.rs
+++ b/crates/jb-policy/src/admission.rs
@@ -1,50 +1,51 @@
-//! Admission: which requests are sent at once, which wait in the box, and which are rejected.
+//! Admission control: which requests are sent at once, which are queued in the box, and which are rejected.
 //!
-//! An engine reads prompts in the order in which they arrive, and its running streams stop meanwhile: when
-//! it receives more than it reads, all first tokens are late. So a prompt is sent only while it, and urgent
-//! ones after it, can still be in time. One that may be in time later waits in the box. One that can't be
-//! in time any more is rejected at once with the time after which there is room; waiting for its deadline
-//! would keep up the overload.
+//! An engine prefills prompts in order of arrival and generates no tokens meanwhile, so when it receives more
+//! prompt tokens than it can prefill, all first tokens are late. A prompt is sent only while it, and urgent
+//! prompts behind it, can still meet their targets. A prompt that may meet its target later is queued in the
+//! box. A prompt that has missed its target is rejected at once with a time to retry after; keeping it until
+//! its deadline would prolong the overload.
 
 use std::time::Duration;
 
-/// Share of the target latency up to which an engine is filled, as estimates of the first token are inexact.
+/// Share of the target up to which an engine's queue is filled; the rest covers errors of the estimated time
+/// to first token.
 const FILL_SHARE: f64 = 0.65;
-/// Share of the same limit up to which late requests may fill an engine, so that another one still fits in.
+/// Share of that limit up to which late requests fill a queue, so that another request can still meet its target.
 const LATE_FILL_SHARE: f64 = 0.4;
 
-/// A request that is to be sent.
+/// A request to admit.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
-    /// Time since it came.
+    /// Time since its arrival.
     pub waited: Duration,
-    /// Time in which its first token is wanted, or its caller gives up.
+    /// Target for the time from its arrival to its first token, or until its caller gives up if that is less.
     pub ttft_target: Duration,
-    /// The least time wanted by a request that is as urgent or more, of the same service.
+    /// Shortest target of the routes of the same service that are at least as urgent.
     pub urgent_ttft_target: Duration,
 }
 
-/// What the best engine would do with it.
+/// Estimate for the request at the best engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Estimate {
-    /// Time until its first token.
+    /// Time to first token if it is sent now.
     pub ttft: Duration,
-    /// Whether other prompts wait there.
+    /// Whether prompts are queued at the engine.
     pub has_queue: bool,
 }
 
-/// What is to be done with it now.
+/// Decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It is sent.
+    /// Send it to the engine.
     Send,
-    /// It waits in the box.
+    /// Keep it queued in the box.
     Queue,
-    /// It can't be in time; the time after which there is room.
+    /// Reject it, as it misses its target; retry after this time.
     Reject(Duration),
 }
 
-/// Judges a request that nothing has been done for.
+/// Decides on a request of which no attempt has been sent.
 pub fn decide(request: &Request, estimate: &Estimate) -> Decision {
     let Estimate { ttft, has_queue } = *estimate;
     if !has_queue {
--- a/crates/jb-policy/src/customer_limit.rs
+++ b/crates/jb-policy/src/customer_limit.rs
@@ -1,5 +1,5 @@
-//! Limits of a customer, shared over the boxes of a hall without a message
-//! for each request: each box grants an even part of them.
+//! Rate and concurrency limits of customers, divided evenly among the boxes of a data hall without coordination
+//! for each request.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,50 +10,50 @@
 
 use crate::Moment;
 
-/// Time over which a customer may save up unused tokens.
+/// Time over which unused tokens of the rate accumulate.
 const BURST: Duration = Duration::from_secs(2);
-/// Part of the saved-up tokens below which a customer counts as strained.
-const STRAINED: f64 = 0.5;
-/// Time after which to come back when too many requests are open.
+/// Share of the bucket's capacity below which requests are demoted.
+const DEMOTED_BELOW_SHARE: f64 = 0.5;
+/// Time to retry after when too many requests are open.
 const CONCURRENCY_PAUSE: Duration = Duration::from_secs(1);
 
-/// A refusal by a limit.
+/// A limit that a request exceeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Exceeded {
-    /// The limit.
+    /// Kind of error, which tells the limit.
     pub kind: Kind,
-    /// When the request would be admitted if nothing else came.
+    /// Time after which the request would be admitted if no other request arrived.
     pub retry_after: Duration,
 }
 
 /// An admitted request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Admitted {
-    /// The customer uses more than it is entitled to over time. Its request
-    /// runs one priority class lower, so that others do not wait for it.
+    /// Whether the request runs one priority class lower, as the customer has used up most of its burst and other
+    /// customers must not wait for it.
     pub demoted: bool,
 }
 
 #[derive(Clone, Debug)]
-struct Use {
+struct Usage {
     tokens: f64,
     refilled_at: Moment,
     open: u32,
 }
 
-/// The use of all customers at one box.
+/// Use of all customers at one box.
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
-    uses: HashMap<id::Customer, Use>,
+    usage: HashMap<id::Customer, Usage>,
 }
 
 impl Limits {
-    /// Admits a request of `tokens` tokens, or says when to come back.
+    /// Admits a request of `tokens` tokens.
     ///
-    /// `boxes` is the number of boxes that share the hall's callers.
+    /// `boxes` is the number of boxes among which the limits are divided.
     ///
     /// # Errors
-    /// The limit that is exceeded.
+    /// The limit that is exceeded, with the time to retry after.
     pub fn admit(
         &mut self,
         customer: &Customer,
@@ -63,48 +63,48 @@
     ) -> Result<Admitted, Exceeded> {
         let boxes = boxes.max(1);
         let rate = f64::from(customer.tokens_per_second) / f64::from(boxes);
-        let room = rate * BURST.as_secs_f64();
-        let used = self.uses.entry(customer.id.clone()).or_insert(Use {
-            tokens: room,
+        let capacity = rate * BURST.as_secs_f64();
+        let usage = self.usage.entry(customer.id.clone()).or_insert(Usage {
+            tokens: capacity,
             refilled_at: now,
             open: 0,
         });
-        let idle = now.saturating_sub(used.refilled_at);
-        used.tokens = (used.tokens + idle.as_secs_f64() * rate).min(room);
-        used.refilled_at = now;
-        if used.open >= customer.max_concurrent.div_ceil(boxes) {
+        let idle = now.saturating_sub(usage.refilled_at);
+        usage.tokens = (usage.tokens + idle.as_secs_f64() * rate).min(capacity);
+        usage.refilled_at = now;
+        if usage.open >= customer.max_concurrent.div_ceil(boxes) {
             return Err(Exceeded {
                 kind: Kind::ConcurrencyLimited,
                 retry_after: CONCURRENCY_PAUSE,
             });
         }
-        // A request longer than the whole room is admitted when the room is full.
-        let needed = f64::from(tokens).min(room);
-        if used.tokens < needed {
-            let seconds = (needed - used.tokens) / rate.max(f64::MIN_POSITIVE);
+        // A request larger than the capacity is admitted when the bucket is full.
+        let needed = f64::from(tokens).min(capacity);
+        if usage.tokens < needed {
+            let seconds = (needed - usage.tokens) / rate.max(f64::MIN_POSITIVE);
             return Err(Exceeded {
                 kind: Kind::RateLimited,
                 retry_after: Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX),
             });
         }
-        used.tokens -= f64::from(tokens);
-        used.open += 1;
+        usage.tokens -= f64::from(tokens);
+        usage.open += 1;
         Ok(Admitted {
-            demoted: used.tokens < room * STRAINED,
+            demoted: usage.tokens < capacity * DEMOTED_BELOW_SHARE,
         })
     }
 
-    /// Notes the end of an admitted request.
+    /// Releases the concurrency slot of an admitted request that has ended.
     pub fn release(&mut self, customer: &str) {
-        if let Some(used) = self.uses.get_mut(customer) {
-            used.open = used.open.saturating_sub(1);
+        if let Some(usage) = self.usage.get_mut(customer) {
+            usage.open = usage.open.saturating_sub(1);
         }
     }
 
-    /// Gives back what a request took that no engine could take.
+    /// Refunds the tokens of a request that did not run.
     pub fn refund(&mut self, customer: &str, tokens: u32) {
-        if let Some(used) = self.uses.get_mut(customer) {
-            used.tokens += f64::from(tokens);
+        if let Some(usage) = self.usage.get_mut(customer) {
+            usage.tokens += f64::from(tokens);
         }
     }
 }
--- a/crates/jb-policy/src/hall.rs
+++ b/crates/jb-policy/src/hall.rs
@@ -1,4 +1,4 @@
-//! Choice of the data hall, and the split of a migration.
+//! Choice of the data hall for a request, and the traffic split of a migration between halls.
 
 use jb_protocol::id;
 use jb_tree::view::Route;
@@ -6,33 +6,31 @@
 use crate::prefix::Hash;
 use crate::rendezvous;
 
-/// Number of points over which families are spread.
+/// Number of split points over which families are distributed; a migration share is in percent.
 const POINTS: u64 = 100;
 
-/// What a box knows of one hall's state for one service.
+/// State of one service in one data hall, as a box knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Summary {
-    /// The hall.
+    /// Data hall.
     pub hall: id::Hall,
-    /// Whether the service has an upstream there that can be reached.
+    /// Whether the service has a usable upstream there.
     pub usable: bool,
-    /// Milliseconds of waiting work there.
+    /// Shortest queueing time there, in milliseconds.
     pub wait_ms: u32,
 }
 
-/// Point of a family between 0 and 99.
+/// Returns the split point of a family, 0 to 99.
 ///
-/// A family moves when the share passes its point, so a growing share never
-/// moves one back, and the whole family's requests move together.
+/// A family moves to the target hall when the share exceeds its point. So a growing share never moves a family
+/// back, and all requests of a family move together.
 pub fn point(route: &str, family: Hash) -> u32 {
     let weight = rendezvous::weight(family, rendezvous::name_hash(route));
     u32::try_from(weight % POINTS).unwrap_or(0)
 }
 
-/// Halls in the order in which to try them.
-///
-/// The first is where the tree wants the family; the others follow by their
-/// waiting work, so that a lost hall costs no request that another can serve.
+/// Returns the usable halls in the order in which to try them: the assigned one, the box's own one, then the
+/// others by queueing time. A request fails over to another hall when one is lost.
 pub fn preference_order(route: &Route, family: Hash, own: &str, halls: &[Summary]) -> Vec<id::Hall> {
     let assigned = assigned(route, family).unwrap_or(own);
     let mut usable: Vec<&Summary> = halls.iter().filter(|h| h.usable).collect();
@@ -40,7 +38,7 @@
     usable.into_iter().map(|h| h.hall.clone()).collect()
 }
 
-/// The hall where the tree wants a family.
+/// Returns the hall that the configuration tree assigns to a family; `None` if the route names no home hall.
 pub fn assigned(route: &Route, family: Hash) -> Option<&str> {
     let home = route.home.as_deref()?;
     match route.target.as_deref() {
--- a/crates/jb-policy/src/leader.rs
+++ b/crates/jb-policy/src/leader.rs
@@ -1,12 +1,10 @@
-//! The leader of a hall: the one box that gives its engines orders.
+//! Leader of a data hall: the one box that orders the hall's engines to load models.
 //!
-//! The platform's lease names it. It gives no order near the end of its
-//! lease, measured from before it asked; each order carries the lease's
-//! fencing token. For engines that do not check tokens, a new leader first
-//! waits until every order of the one before must have arrived, and what an
-//! engine reports is compared with the tree again and again, so that a stray
-//! order is undone. Nothing is routed by what was ordered, only by what an
-//! engine reports.
+//! The leader holds the platform's lease. It gives no order near the end of the lease, whose duration counts from
+//! before the request for it, and each order carries the lease's fencing token. For engines that don't check
+//! fencing tokens, a new leader first waits until every order of its predecessor must have arrived. Engines'
+//! reports are compared with the configuration tree in every round, so a stray order is undone. Requests are
+//! routed only by what engines report, never by what was ordered.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,20 +16,20 @@
 use crate::Moment;
 use crate::rendezvous;
 
-/// Time for which the lease is asked.
+/// Requested duration of the lease.
 pub const LEASE_DURATION: Duration = Duration::from_secs(6);
-/// Longest time from the decision on an order to its arrival.
+/// Longest time from planning an order to its arrival at the engine.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time after which an order that shows no effect is given again.
+/// Interval at which an order without effect is repeated.
 const ORDER_RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Name of a hall's lease.
+/// Returns the name of a hall's lease.
 pub fn lease_name(hall: &str) -> String {
     format!("steward/{hall}")
 }
 
-/// How much a box is preferred as leader; only the most preferred live box
-/// asks for the lease, so the platform gets one call for a hall.
+/// Returns the preference of a box as leader. Only the live box with the highest value requests the lease, so the
+/// platform gets the calls of one box of a hall.
 pub fn preference(hall: &str, name: &str) -> u64 {
     rendezvous::weight(
         rendezvous::name_hash(&lease_name(hall)),
@@ -39,7 +37,7 @@
     )
 }
 
-/// What an engine is to run.
+/// Desired state of an engine by the configuration tree.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Desired {
     /// Engine.
@@ -48,11 +46,11 @@
     pub model: String,
     /// Version of the weights.
     pub weights: id::Weights,
-    /// Whether it refuses orders with an old fencing token.
+    /// Whether the engine rejects orders with an old fencing token.
     pub checks_fence: bool,
 }
 
-/// What an engine reports to run.
+/// State that an engine reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Loaded {
     /// Model.
@@ -61,12 +59,12 @@
     pub weights: id::Weights,
 }
 
-/// An order to be given now.
+/// An order to send now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedOrder {
     /// Engine.
     pub upstream: id::Upstream,
-    /// The order.
+    /// Order.
     pub order: Order,
 }
 
@@ -77,57 +75,56 @@
     until: Moment,
 }
 
-/// What a box knows of its own leadership.
+/// Leadership of this box.
 #[derive(Clone, Debug, Default)]
 pub struct Leader {
     term: Option<Term>,
-    ordered: BTreeMap<id::Upstream, Moment>,
+    ordered_at: BTreeMap<id::Upstream, Moment>,
 }
 
 impl Leader {
-    /// Takes a lease that was asked for at `asked_at`; `true` when the box
-    /// was not leader before.
-    pub fn record_grant(&mut self, lease: &Lease, asked_at: Moment) -> bool {
-        let until = asked_at + Duration::from_millis(lease.ttl_ms);
+    /// Records a lease that was requested at `requested_at` and returns whether this begins a new term.
+    pub fn record_grant(&mut self, lease: &Lease, requested_at: Moment) -> bool {
+        let until = requested_at + Duration::from_millis(lease.ttl_ms);
         let same = self.term.filter(|term| term.fence == lease.fence);
-        let since = same.map_or(asked_at, |term| term.since);
+        let since = same.map_or(requested_at, |term| term.since);
         self.term = Some(Term {
             fence: lease.fence,
             since,
             until,
         });
         if same.is_none() {
-            self.ordered.clear();
+            self.ordered_at.clear();
         }
         same.is_none()
     }
 
-    /// Notes that the box is not leader; `true` when it was.
+    /// Ends the term and returns whether the box was leader.
     pub fn step_down(&mut self) -> bool {
         self.term.take().is_some()
     }
 
-    /// Whether an order that is decided on now arrives within the lease.
+    /// Returns whether an order that is planned now arrives within the lease.
     pub fn can_order(&self, now: Moment) -> bool {
         self.term.is_some_and(|term| now + ORDER_TIMEOUT < term.until)
     }
 
-    /// The order for an engine that reports something other than is desired.
+    /// Plans the order for an engine whose reported state differs from the desired one.
     pub fn plan(&mut self, desired: &Desired, loaded: &Loaded, now: Moment) -> Option<PlannedOrder> {
         let term = self.term.filter(|term| now + ORDER_TIMEOUT < term.until)?;
         if loaded.model == desired.model && loaded.weights == desired.weights {
-            self.ordered.remove(&desired.upstream);
+            self.ordered_at.remove(&desired.upstream);
             return None;
         }
-        // An order of the leader before may still be on its way.
+        // An order of the previous leader may still be in flight.
         if !desired.checks_fence && now < term.since + LEASE_DURATION + ORDER_TIMEOUT {
             return None;
         }
-        let before = self.ordered.get(&desired.upstream);
+        let before = self.ordered_at.get(&desired.upstream);
         if before.is_some_and(|at| now < *at + ORDER_RETRY_INTERVAL) {
             return None;
         }
-        self.ordered.insert(desired.upstream.clone(), now);
+        self.ordered_at.insert(desired.upstream.clone(), now);
         let left = term.until.saturating_sub(now).min(ORDER_TIMEOUT);
         Some(PlannedOrder {
             upstream: desired.upstream.clone(),
--- a/crates/jb-policy/src/placement.rs
+++ b/crates/jb-policy/src/placement.rs
@@ -1,42 +1,41 @@
-//! The choice of an upstream by estimated time, from what one box knows.
+//! Placement of a request on the upstream of the least estimated cost, from one box's state.
 //!
-//! The cost of a candidate is the time until its first token: prompt tokens
-//! that wait before it, prompt tokens that it must read itself, and the drag of
-//! running requests. Bytes to another data hall are a small cost on top, so
-//! that the own hall wins among equals.
+//! The cost of a candidate is the estimated time to first token there: queued prompt tokens, prompt tokens that the
+//! engine must prefill itself, and the slowdown by running requests. Bytes to another data hall add a small cost,
+//! so that the box's own hall wins among equals.
 
 use std::time::Duration;
 
 use crate::prefix_cache::Segment;
 use crate::rendezvous;
 
-/// Weights of the choice. Times in milliseconds.
+/// Costs by which candidates are compared, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct CostModel {
-    /// Prompt tokens that an engine reads in a millisecond.
+    /// Prompt tokens that an engine prefills in a millisecond.
     pub prefill_tokens_per_ms: f64,
-    /// Cost of a transfer of shared segments from another engine, and of the memory that the copy takes.
+    /// Cost of a transfer of cached segments from another engine, with the memory that the copy takes.
     pub transfer: f64,
-    /// Cost of each thousand tokens transferred.
+    /// Cost of each 1000 tokens transferred.
     pub transfer_per_1k: f64,
-    /// Time to transfer a thousand tokens, by the bytes of a token and the link.
+    /// Time to transfer 1000 tokens, by the bytes of a token and the bandwidth of the link.
     pub transfer_time_per_1k: f64,
-    /// Cost of each thousand shared tokens that have to be read, besides the time: most of them were read
-    /// elsewhere a moment ago.
+    /// Cost of each 1000 shared tokens to prefill, besides the time: most of them have just been prefilled on
+    /// another engine.
     pub recompute_per_1k: f64,
-    /// Cost of older weights than the newest release.
+    /// Cost of weights older than the newest release.
     pub stale_weights: f64,
-    /// Delay of the next token by one running request.
+    /// Cost of each running request.
     pub per_running_request: f64,
-    /// Cost of a place that is taken at a plain service, as a share of all places.
+    /// Cost of full utilization of the slots of an upstream of a plain service.
     pub slot_utilization: f64,
     /// Cost of sending to another data hall.
     pub cross_hall: f64,
-    /// Cost of each kilobyte that goes to another data hall.
+    /// Cost of each kilobyte sent to another data hall.
     pub cross_hall_per_kb: f64,
-    /// Cost of an engine that isn't the prefix group's own.
+    /// Cost of an engine that isn't the rendezvous owner of the prefix group.
     pub non_owner: f64,
-    /// Cost of a candidate whose places are all taken.
+    /// Cost of a candidate without a free slot.
     pub saturated: f64,
 }
 
@@ -60,8 +59,8 @@
 }
 
 impl CostModel {
-    /// Returns the weights for a prompt that shares little with others: little of it is cached anywhere, so
-    /// it goes by load, and to the newest weights.
+    /// Returns the model for a prompt that shares little with others. Little of it is cached anywhere, so it is
+    /// placed by load, and on the newest weights.
     pub fn for_unshared_prompt(self) -> Self {
         Self {
             non_owner: 0.0,
@@ -73,131 +72,136 @@
     }
 }
 
-/// One upstream that could serve.
+/// One upstream that can serve a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// Hash of its name, for the order that all boxes agree on.
+    /// Hash of its name, for rendezvous hashing.
     pub name_hash: u64,
-    /// Whether it is in the box's own data hall.
+    /// Whether it is in the data hall of this box.
     pub own_hall: bool,
-    /// Requests that are believed to run there.
+    /// Requests that run there, as known to this box.
     pub running: u32,
-    /// Requests that it works on at once.
+    /// Requests that it processes concurrently.
     pub slots: u32,
-    /// Prompt tokens that are believed to wait there.
+    /// Prompt tokens queued there, as known to this box.
     pub queued_tokens: u64,
-    /// Tokens of the prompt that it is believed to keep.
+    /// Tokens of the prompt that its prefix cache is expected to have.
     pub cached_tokens: u64,
-    /// Tokens of the prompt that another engine of the same weights is believed to keep.
+    /// Tokens of the prompt that the prefix cache of another engine with the same weights is expected to have.
     pub peer_cached_tokens: u64,
-    /// Whether newer weights than it has are named.
+    /// Whether newer weights than its own have been released.
     pub has_stale_weights: bool,
-    /// Time for which it is still slow, as a factor on its work.
+    /// Factor on its processing times: above 1 while it is slow after its start.
     pub slowdown: f64,
 }
 
 impl Candidate {
-    /// Whether all its places are taken.
+    /// Returns whether it has no free slot.
     pub fn is_full(&self) -> bool {
         self.running >= self.slots
     }
 
-    /// Tokens that another engine hands it.
-    fn transferred(&self) -> u64 {
+    /// Returns the tokens to transfer from another engine.
+    fn transferred_tokens(&self) -> u64 {
         self.peer_cached_tokens.saturating_sub(self.cached_tokens)
     }
 
-    /// Of so many leading tokens those that it has to read itself.
-    fn unread(&self, tokens: u64) -> u64 {
-        tokens.saturating_sub(self.cached_tokens + self.transferred())
+    /// Returns how many of the first `tokens` tokens of the prompt it must prefill itself.
+    fn prefill_tokens(&self, tokens: u64) -> u64 {
+        tokens.saturating_sub(self.cached_tokens + self.transferred_tokens())
     }
 }
 
-/// What a request asks of an upstream.
+/// Work of a request for an upstream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Demand<'a> {
-    /// Parts of the prompt; empty for plain services.
+    /// Segments of the prompt; empty for plain services.
     pub prompt: &'a [Segment],
-    /// Bytes that go there.
+    /// Bytes to send.
     pub bytes: usize,
 }
 
 impl Demand<'_> {
-    /// Tokens of the whole prompt.
+    /// Returns the tokens of the whole prompt.
     pub fn total_tokens(&self) -> u64 {
         self.prompt.iter().map(|segment| segment.tokens).sum()
     }
 
-    /// Tokens of the parts that other requests share: all but the last part.
+    /// Returns the tokens of the segments shared with other requests: all but the last one.
     pub fn shared_tokens(&self) -> u64 {
         self.total_tokens() - self.prompt.last().map_or(0, |segment| segment.tokens)
     }
 
-    /// Number of the deepest shared part, which names the prompt's family.
+    /// Returns the id of the prompt's prefix group: that of its last shared segment. `None` without shared segments.
     pub fn prefix_group(&self) -> Option<u64> {
         let shared = self.prompt.len().checked_sub(2)?;
         Some(self.prompt[shared].id)
     }
 }
 
-/// Position of the candidate with the least cost.
+/// Returns the index of the candidate with the least cost; `None` if there are no candidates.
 pub fn best(candidates: &[Candidate], demand: &Demand<'_>, model: &CostModel) -> Option<usize> {
-    let home = demand.prefix_group().and_then(|family| home(candidates, family));
-    // Among engines that keep nothing of it yet, all boxes take the same one.
-    let away = |at| {
-        if home.is_some() && home != Some(at) {
+    let owner = demand
+        .prefix_group()
+        .and_then(|prefix_group| owner(candidates, prefix_group));
+    // While no engine has cached the prefix, all boxes choose the same one.
+    let non_owner_cost = |at| {
+        if owner.is_some() && owner != Some(at) {
             model.non_owner
         } else {
             0.0
         }
     };
-    let listed = shortlist(candidates, demand);
-    let costs = listed
+    let shortlisted = shortlist(candidates, demand);
+    let costs = shortlisted
         .into_iter()
-        .map(|at| (at, cost(&candidates[at], demand, model) + away(at)));
+        .map(|at| (at, cost(&candidates[at], demand, model) + non_owner_cost(at)));
     costs.min_by(|a, b| a.1.total_cmp(&b.1)).map(|(at, _)| at)
 }
 
-/// Drag of one running request on a first token, in milliseconds; from a fit over 18,800 first
-/// tokens, 0.2 to 3 ms. The choice counts more, so that loads spread.
-const DRAG: f64 = 1.5;
+/// Delay of a first token by each running request, in milliseconds: measured 0.2 to 3 ms, over 18,800 first tokens.
+/// The cost of a candidate counts more (`per_running_request`), which spreads the load.
+const DELAY_PER_RUNNING_MS: f64 = 1.5;
 
-/// Time until the first token at a candidate.
+/// Returns the estimated time to first token at a candidate.
 pub fn time_to_first_token(candidate: &Candidate, demand: &Demand<'_>, model: &CostModel) -> Duration {
-    let transferred = candidate.transferred();
-    let unread = candidate.unread(demand.total_tokens());
-    let moving = model.transfer_time_per_1k * transferred as f64 / 1000.0;
-    let reading = (candidate.queued_tokens + unread) as f64 / model.prefill_tokens_per_ms;
-    let millis = (reading + moving + DRAG * f64::from(candidate.running)) * candidate.slowdown;
+    let transferred = candidate.transferred_tokens();
+    let to_prefill = candidate.prefill_tokens(demand.total_tokens());
+    let transfer_time = model.transfer_time_per_1k * transferred as f64 / 1000.0;
+    let prefill_time = (candidate.queued_tokens + to_prefill) as f64 / model.prefill_tokens_per_ms;
+    let millis = (prefill_time + transfer_time + DELAY_PER_RUNNING_MS * f64::from(candidate.running))
+        * candidate.slowdown;
     Duration::from_secs_f64(millis / 1000.0)
 }
 
-/// Candidates up to which all are weighed.
-const MAX_FULLY_WEIGHED: usize = 16;
-/// Engines that share a prefix group where there are more.
+/// Number of candidates up to which all are compared.
+const MAX_COMPARED_FULLY: usize = 16;
+/// Engines to which a prefix group is assigned where there are more candidates.
 const ENGINES_PER_GROUP: usize = 2;
 
-/// Positions of the candidates that are weighed. Among many engines these are the family's
-/// own two and those that keep most of it: what boxes know of the load is older than most
-/// requests last, so all boxes would send to the one that was idle a moment ago.
+/// Returns the indexes of the candidates to compare. Among many engines these are the two assigned to the prefix
+/// group and those that have cached more than half of it. The loads known to boxes are older than the duration of
+/// most requests, so otherwise all boxes would send to the same recently idle engine.
 fn shortlist(candidates: &[Candidate], demand: &Demand<'_>) -> Vec<usize> {
     let all = 0..candidates.len();
-    let Some(family) = demand
+    let Some(prefix_group) = demand
         .prefix_group()
-        .filter(|_| candidates.len() > MAX_FULLY_WEIGHED)
+        .filter(|_| candidates.len() > MAX_COMPARED_FULLY)
     else {
         return all.collect();
     };
     let names = candidates.iter().enumerate().map(|(at, c)| (at, c.name_hash));
-    let mut listed = rendezvous::top(family, names, ENGINES_PER_GROUP);
-    let most = demand.shared_tokens() / 2;
-    listed.extend(all.filter(|at| candidates[*at].cached_tokens > most));
-    listed
+    let mut shortlist = rendezvous::top(prefix_group, names, ENGINES_PER_GROUP);
+    let half = demand.shared_tokens() / 2;
+    shortlist.extend(all.filter(|at| candidates[*at].cached_tokens > half));
+    shortlist
 }
 
-/// Position of the candidate that all boxes expect to keep a family.
-fn home(candidates: &[Candidate], family: u64) -> Option<usize> {
-    let weights = candidates.iter().map(|c| rendezvous::weight(family, c.name_hash));
+/// Returns the index of the candidate that rendezvous hashing assigns to a prefix group on all boxes.
+fn owner(candidates: &[Candidate], prefix_group: u64) -> Option<usize> {
+    let weights = candidates
+        .iter()
+        .map(|c| rendezvous::weight(prefix_group, c.name_hash));
     weights
         .enumerate()
         .max_by_key(|(_, weight)| *weight)
@@ -205,32 +209,32 @@
 }
 
 fn cost(candidate: &Candidate, demand: &Demand<'_>, model: &CostModel) -> f64 {
-    let transferred = candidate.transferred();
-    let unread = candidate.unread(demand.total_tokens());
-    let import = if transferred > 0 {
+    let transferred = candidate.transferred_tokens();
+    let to_prefill = candidate.prefill_tokens(demand.total_tokens());
+    let transfer = if transferred > 0 {
         model.transfer + model.transfer_per_1k * transferred as f64 / 1000.0
     } else {
         0.0
     };
-    let reading = (candidate.queued_tokens + unread) as f64 / model.prefill_tokens_per_ms;
-    let unread_shared = candidate.unread(demand.shared_tokens());
-    let again = model.recompute_per_1k * unread_shared as f64 / 1000.0;
+    let prefill_time = (candidate.queued_tokens + to_prefill) as f64 / model.prefill_tokens_per_ms;
+    let shared_to_prefill = candidate.prefill_tokens(demand.shared_tokens());
+    let recompute = model.recompute_per_1k * shared_to_prefill as f64 / 1000.0;
     let running = f64::from(candidate.running);
-    let drag = if demand.prompt.is_empty() {
+    let load = if demand.prompt.is_empty() {
         model.slot_utilization * running / f64::from(candidate.slots.max(1))
     } else {
         model.per_running_request * running
     };
-    let distance = if candidate.own_hall {
+    let cross_hall = if candidate.own_hall {
         0.0
     } else {
         model.cross_hall + model.cross_hall_per_kb * demand.bytes as f64 / 1024.0
     };
-    let full = if candidate.is_full() { model.saturated } else { 0.0 };
-    let behind = if candidate.has_stale_weights {
+    let saturated = if candidate.is_full() { model.saturated } else { 0.0 };
+    let stale_weights = if candidate.has_stale_weights {
         model.stale_weights
     } else {
         0.0
     };
-    (reading + drag + import) * candidate.slowdown + again + distance + full + behind
+    (prefill_time + load + transfer) * candidate.slowdown + recompute + cross_hall + saturated + stale_weights
 }
--- a/crates/jb-policy/src/prefill_rate.rs
+++ b/crates/jb-policy/src/prefill_rate.rs
@@ -1,20 +1,19 @@
-//! How fast engines of a service read prompts, learned from the times of first tokens.
+//! Prefill rate of the engines of a service, estimated from measured times to first token.
 
 use std::time::Duration;
 
-/// Prompt tokens read in a millisecond, before anything is measured.
+/// Prompt tokens per millisecond before anything is measured.
 const INITIAL_TOKENS_PER_MS: f64 = 50.0;
-/// Weight of this first value, in tokens.
+/// Weight of this initial value, in tokens.
 const INITIAL_SAMPLE_TOKENS: f64 = 4000.0;
 /// Factor on the weight of older samples for each new one.
 const DECAY: f64 = 0.98;
-/// Part of the time to a first token that doesn't depend on the prompt: the network and one step of the
-/// engine.
+/// Part of the time to first token that doesn't depend on the prompt: the network and one step of the engine.
 const FIXED_LATENCY: Duration = Duration::from_millis(20);
-/// Fewest tokens of a sample.
+/// Fewest prompt tokens of a sample; smaller prompts are ignored.
 const MIN_SAMPLE_TOKENS: u64 = 500;
 
-/// Reading speed of one service's engines.
+/// Average prefill rate of one service's engines, with exponentially decaying weights.
 #[derive(Clone, Copy, Debug)]
 pub struct PrefillRate {
     tokens: f64,
@@ -31,7 +30,7 @@
 }
 
 impl PrefillRate {
-    /// Notes a first token: tokens that were to be read up to it, and the time since the send.
+    /// Records a first token: the tokens that had to be prefilled before it and the time since the send.
     pub fn record(&mut self, tokens: u64, took: Duration) {
         if tokens < MIN_SAMPLE_TOKENS {
             return;
@@ -40,7 +39,7 @@
         self.millis = self.millis * DECAY + took.saturating_sub(FIXED_LATENCY).as_secs_f64() * 1000.0;
     }
 
-    /// Prompt tokens read in a millisecond.
+    /// Returns the prompt tokens that an engine prefills in a millisecond.
     pub fn tokens_per_ms(&self) -> f64 {
         self.tokens / self.millis.max(1.0)
     }
--- a/crates/jb-policy/src/pressure.rs
+++ b/crates/jb-policy/src/pressure.rs
@@ -1,29 +1,29 @@
-//! How fast an engine's cache fills: tokens put in of late.
+//! Cache pressure: the tokens recently inserted into an engine's prefix cache.
 
 use std::time::Duration;
 
 use crate::Moment;
 
-/// Time in which past insertions fade to 1/e.
-const FADE: Duration = Duration::from_secs(5);
+/// Time after which an insertion counts for 1/e.
+const DECAY_TIME: Duration = Duration::from_secs(5);
 
-/// Tokens put into a cache of late, older ones counting for less.
+/// Recently inserted tokens, with exponentially decaying weights.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pressure {
     tokens: f64,
-    at: Moment,
+    updated_at: Moment,
 }
 
 impl Pressure {
-    /// Counts tokens put in now.
+    /// Adds tokens inserted now.
     pub fn add(&mut self, tokens: u32, now: Moment) {
         self.tokens = self.tokens(now) + f64::from(tokens);
-        self.at = now;
+        self.updated_at = now;
     }
 
-    /// Tokens put in of late.
+    /// Returns the recently inserted tokens, weighted by their age.
     pub fn tokens(&self, now: Moment) -> f64 {
-        let idle = now.saturating_sub(self.at).as_secs_f64();
-        self.tokens * (-idle / FADE.as_secs_f64()).exp()
+        let idle = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.tokens * (-idle / DECAY_TIME.as_secs_f64()).exp()
     }
 }
--- a/crates/jb-policy/src/quota.rs
+++ b/crates/jb-policy/src/quota.rs
@@ -1,81 +1,81 @@
-//! A customer's limit, enforced for the whole fleet by the account at one box.
+//! Token rate limit of a customer for the whole fleet, enforced by a token bucket on one box.
 //!
-//! The account is a token bucket. Every request asks it before it is sent, so the fleet's use is known
-//! exactly while one account answers for all. In a partition there is more than one account, and each fills
-//! only by the share of the fleet that it answers for: the shares of all sides add up to one.
+//! Every request takes its tokens from the bucket before it is sent, so the limit is exact while one bucket serves
+//! all boxes. In a partition each side has a bucket, which is refilled at the share of the rate that its side has
+//! of the fleet: the shares of all sides add up to 1.
 //!
-//! What the limit allows in a window, its burst included, comes in evenly, and the capacity is a part of the
-//! tolerated excess: so a customer whose rate is a little over the limit all the time isn't rejected, and no
-//! window around a partition or a restart holds more than the others.
+//! The bucket is refilled at a constant rate that includes the burst of the limit, and its capacity is a part of
+//! the tolerated overrun. So a customer that is always slightly over its limit isn't rejected, and no window
+//! around a partition or a restart allows more than any other.
 
 use std::time::Duration;
 
 use crate::Moment;
 
-/// Share of the tolerated overrun that an account holds when it is full. The rest covers boxes that
-/// have not noticed a partition yet.
-const ROOM_SHARE: f64 = 0.5;
-/// Share of it that only the customer's most urgent requests use.
-const URGENT_SHARE: f64 = 0.1;
-/// Share of it that a new account holds when the level of the one before isn't known: after a restart of all
-/// boxes the limit may just have been used up.
-const BEGIN_SHARE: f64 = 0.3;
+/// Capacity of a bucket as a share of the tolerated overrun. The rest covers boxes that have not noticed a
+/// partition yet.
+const CAPACITY_SHARE: f64 = 0.5;
+/// Share of the tolerated overrun that is reserved for the customer's most urgent requests.
+const URGENT_RESERVE_SHARE: f64 = 0.1;
+/// Initial level of a bucket, as a share of the tolerated overrun, where the level of its predecessor isn't known:
+/// after a restart of all boxes the limit may just have been used up.
+const INITIAL_SHARE: f64 = 0.3;
 
-/// A customer's limit.
+/// Rate limit of a customer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
-    /// Tokens a second.
+    /// Tokens per second.
     pub rate: f64,
-    /// Tokens at once, on top.
+    /// Tokens of a burst, in addition to the rate.
     pub burst: f64,
 }
 
-/// What operators tolerate beyond a limit in one window.
+/// Excess over a limit that operators tolerate in any window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tolerance {
-    /// Window.
+    /// Length of the window.
     pub window: Duration,
-    /// Share of what the limit allows in a window.
+    /// Tolerated excess as a share of what the limit allows in a window.
     pub overrun_ratio: f64,
-    /// Tokens on top.
+    /// Tolerated tokens in addition.
     pub slack: f64,
 }
 
 impl Tolerance {
-    /// Tokens that may run beyond a limit in one window.
+    /// Returns the tolerated excess over a limit in one window, in tokens.
     pub fn overrun(&self, limit: &Limit) -> f64 {
         self.overrun_ratio * self.allowed(limit) + self.slack
     }
 
-    /// Tokens that a limit itself allows in one window.
+    /// Returns the tokens that a limit itself allows in one window.
     fn allowed(&self, limit: &Limit) -> f64 {
         limit.rate * self.window.as_secs_f64() + limit.burst
     }
 }
 
-/// What an account goes by at a moment.
+/// Present parameters of a bucket.
 #[derive(Clone, Copy, Debug)]
 pub struct Parameters {
-    /// The customer's limit.
+    /// Limit of the customer.
     pub limit: Limit,
-    /// What is tolerated beyond it.
+    /// Tolerated excess over the limit.
     pub tolerance: Tolerance,
-    /// Share of the fleet that the account answers for, 0 to 1.
+    /// Share of the fleet that the bucket serves, 0 to 1.
     pub share: f64,
 }
 
 impl Parameters {
-    /// Most tokens that an account holds.
-    fn room(&self) -> f64 {
-        self.overrun(ROOM_SHARE)
+    /// Returns the capacity of the bucket in tokens.
+    fn capacity(&self) -> f64 {
+        self.overrun(CAPACITY_SHARE)
     }
 
-    /// A part of what is tolerated beyond the limit.
+    /// Returns a part of the tolerated overrun, in tokens.
     fn overrun(&self, part: f64) -> f64 {
         self.share * part * self.tolerance.overrun(&self.limit)
     }
 
-    /// Tokens a second that come in.
+    /// Returns the refill rate in tokens per second.
     fn rate(&self) -> f64 {
         let window = self.tolerance.window.as_secs_f64();
         if window > 0.0 {
@@ -86,53 +86,53 @@
     }
 }
 
-/// A request that asks to be let in.
+/// Tokens that a request takes from a bucket.
 #[derive(Clone, Copy, Debug)]
 pub struct Charge {
-    /// Tokens that it counts for.
+    /// Tokens of the request.
     pub tokens: u64,
-    /// Whether it is of the customer's most urgent kind.
+    /// Whether it is among the customer's most urgent requests.
     pub urgent: bool,
 }
 
-/// The account of one customer.
+/// Token bucket of one customer.
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket {
     level: f64,
-    at: Moment,
+    refilled_at: Moment,
 }
 
 impl Bucket {
-    /// An account that goes on from what another one had left, as its boxes remember it.
+    /// Creates a bucket that continues from the level of its predecessor, `left`, if a box still knows it.
     pub fn new(parameters: &Parameters, left: Option<f64>, now: Moment) -> Self {
         let left = left.map(|left| parameters.share * left);
         Self {
             level: left
-                .unwrap_or(parameters.overrun(BEGIN_SHARE))
-                .min(parameters.room()),
-            at: now,
+                .unwrap_or(parameters.overrun(INITIAL_SHARE))
+                .min(parameters.capacity()),
+            refilled_at: now,
         }
     }
 
-    /// Tokens that are left; less than none where more has run than was asked for.
+    /// Returns the tokens left; negative if more has run than was taken.
     pub fn level(&self) -> f64 {
         self.level
     }
 
-    /// Lets a request in.
+    /// Takes the tokens of a request.
     ///
     /// # Errors
-    /// The time after which it would be let in if nothing else came.
+    /// The time after which the request would be admitted if no other request arrived.
     pub fn take(&mut self, parameters: &Parameters, charge: Charge, now: Moment) -> Result<(), Duration> {
-        self.fill(parameters, now);
+        self.refill(parameters, now);
         let reserved = if charge.urgent {
             0.0
         } else {
-            parameters.overrun(URGENT_SHARE)
+            parameters.overrun(URGENT_RESERVE_SHARE)
         };
         let tokens = charge.tokens as f64;
-        // What is longer than the whole room is let in once the room is full.
-        let needed = (reserved + tokens).min(parameters.room());
+        // A request larger than the capacity is admitted once the bucket is full.
+        let needed = (reserved + tokens).min(parameters.capacity());
         if self.level >= needed {
             self.level -= tokens;
             return Ok(());
@@ -142,16 +142,16 @@
         Err(Duration::from_millis(millis.ceil() as u64))
     }
 
-    /// Counts tokens that ran without being asked for; less than none are given back.
+    /// Takes tokens that have already run, regardless of the level; a negative number refunds tokens.
     pub fn settle(&mut self, parameters: &Parameters, tokens: f64) {
-        self.level = (self.level - tokens).min(parameters.room());
+        self.level = (self.level - tokens).min(parameters.capacity());
     }
 
-    fn fill(&mut self, parameters: &Parameters, now: Moment) {
-        let room = parameters.room();
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.at = self.at.max(now);
-        // What is above a smaller share's room belongs to those who speak for the rest.
-        self.level = (self.level + passed * parameters.rate()).min(room);
+    fn refill(&mut self, parameters: &Parameters, now: Moment) {
+        let capacity = parameters.capacity();
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
+        // When the share shrinks, the level above the new capacity belongs to the buckets that serve the rest.
+        self.level = (self.level + elapsed * parameters.rate()).min(capacity);
     }
 }
--- a/crates/jb-policy/src/rate_limit.rs
+++ b/crates/jb-policy/src/rate_limit.rs
@@ -1,6 +1,6 @@
-//! Rate limits that upstreams announce in the heads of their responses.
+//! Rate limits that upstreams announce in their response headers.
 //!
-//! A limit holds for all boxes together, until a response to a later request comes without it.
+//! A limit applies to all boxes together, until a response to a later request comes without it.
 
 use std::time::Duration;
 
@@ -10,23 +10,23 @@
 /// Requests per second.
 pub type Rate = f64;
 
-/// Lowest rate at which requests are sent: only a response shows that a limit has ended.
+/// Lowest rate at which requests are sent, as only a response shows that a limit has ended.
 const PROBE_RATE: Rate = 0.25;
-/// Excess that a bucket is sized for. It is lower than what upstreams tolerate, 1.5 times the limit and 5
-/// requests in the window, as two boxes may own a bucket for a moment.
+/// Excess that a bucket allows. It is lower than what upstreams tolerate, which is 1.5 times the limit and 5
+/// requests in the window, because two boxes may own a bucket for a moment.
 const TOLERANCE: Tolerance = Tolerance {
     window: Duration::from_secs(4),
     overrun_ratio: 0.3,
     slack: 3.0,
 };
 
-/// What one request takes from a bucket.
+/// Charge of one request.
 pub const ONE_REQUEST: Charge = Charge {
     tokens: 1,
     urgent: true,
 };
 
-/// Parameters of the bucket of a box that answers for a share of the fleet, 0 to 1.
+/// Returns the parameters of the bucket of a box that serves a share of the fleet, 0 to 1.
 pub fn parameters(rate: Rate, share: f64) -> quota::Parameters {
     quota::Parameters {
         limit: quota::Limit {
@@ -38,29 +38,29 @@
     }
 }
 
-/// An empty bucket: another owner may have used all of the limit.
+/// Returns an empty bucket, as another owner may have used up the limit.
 ///
-/// A small share is overdrawn by up to one request, by the owner's `phase` from 0 to 1: boxes with
-/// different phases don't send their first requests at the same moment.
+/// With a small share the bucket starts overdrawn by up to one request, by the owner's `phase` from 0 to 1, so that
+/// boxes with different phases don't send their first requests at the same moment.
 pub fn bucket(parameters: &quota::Parameters, phase: f64, now: Moment) -> Bucket {
     let overdrawn = phase * (1.0 - parameters.share) / parameters.share.max(f64::MIN_POSITIVE);
     Bucket::new(parameters, Some(-overdrawn), now)
 }
 
-/// Rate limit in the head of one response.
+/// Rate limit in the headers of one response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Announcement {
-    /// Nothing usable: there is no head, or no value in it can be parsed.
+    /// Unknown: there are no headers, or no value can be parsed.
     #[default]
     Unknown,
-    /// The upstream names no limit.
+    /// The headers announce no limit.
     Unlimited,
     /// Highest rate that the upstream accepts from all boxes together.
     Limited(Rate),
 }
 
 impl Announcement {
-    /// Parses the values of the header, decimal numbers of requests per second; the lowest one holds.
+    /// Parses the values of the header, decimal numbers of requests per second; the lowest one applies.
     pub fn parse<'a>(values: impl Iterator<Item = &'a str>) -> Self {
         let mut parsed = Self::Unlimited;
         for value in values {
@@ -80,16 +80,16 @@
     (rate.is_finite() && rate >= 0.0).then_some(rate)
 }
 
-/// Rate limit of one instance at a moment.
+/// Rate limit of one instance as observed at one moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Observation {
-    /// The limit, if there is one.
+    /// Limit; `None` if there is none.
     pub rate: Option<Rate>,
-    /// Moment for which this is known.
+    /// Moment for which the limit is known.
     pub at: Moment,
 }
 
-/// Rate limit of one instance, as one box knows it.
+/// State of the rate limit of one instance at one box.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Limit {
     latest: Option<Observation>,
@@ -97,10 +97,10 @@
 }
 
 impl Limit {
-    /// Applies the head of a response received `now`; returns whether the limit has changed.
+    /// Applies the headers of a response received at `now` and returns whether the limit has changed.
     ///
-    /// A head without a limit counts from the moment when its request was sent: responses on
-    /// different connections overtake each other. Where that moment is unknown, it changes nothing.
+    /// Headers without a limit count from the moment when the request was sent, as responses on different
+    /// connections overtake each other. If that moment is unknown, they change nothing.
     pub fn observe(&mut self, announcement: Announcement, sent: Option<Moment>, now: Moment) -> bool {
         let observation = match announcement {
             Announcement::Unknown => None,
@@ -113,7 +113,7 @@
         observation.is_some_and(|observation| self.merge(observation))
     }
 
-    /// Takes the later one of two observations; returns whether the limit has changed.
+    /// Applies an observation if it is later than the present one; returns whether the limit has changed.
     pub fn merge(&mut self, observation: Observation) -> bool {
         if self.latest.is_some_and(|latest| latest.at >= observation.at) {
             return false;
@@ -126,37 +126,37 @@
         changed
     }
 
-    /// Sends nothing more until a moment, as no permit is available before.
+    /// Blocks requests until a moment, before which no permit is available.
     pub fn block_until(&mut self, moment: Moment) {
         self.blocked_until = self.blocked_until.max(moment);
     }
 
-    /// Whether no permit is available.
+    /// Returns whether no permit is available.
     pub fn is_blocked(&self, now: Moment) -> bool {
         now < self.blocked_until
     }
 
-    /// When the next permit may be available.
+    /// Returns when the next permit may be available.
     pub fn blocked_until(&self) -> Moment {
         self.blocked_until
     }
 
-    /// The latest observation.
+    /// Returns the latest observation.
     pub fn observation(&self) -> Option<Observation> {
         self.latest
     }
 
-    /// The limit in force, if there is one.
+    /// Returns the limit in force; `None` if there is none.
     pub fn rate(&self) -> Option<Rate> {
         self.latest.and_then(|latest| latest.rate)
     }
 }
 
-/// Rate limit of one instance, of which a box uses an even share without asking other boxes.
+/// Limiter of one box, which uses an even share of an instance's rate limit without asking other boxes.
 #[derive(Clone, Copy, Debug)]
 pub struct Limiter {
     limit: Limit,
-    /// Bucket while there is a limit.
+    /// Bucket; present while there is a limit.
     bucket: Option<Bucket>,
     share: f64,
     phase: f64,
@@ -174,25 +174,25 @@
 }
 
 impl Limiter {
-    /// Sets the share that this box may use, 0 to 1, and the phase of its bucket.
+    /// Sets the share of the limit for this box, 0 to 1, and the phase of its bucket, as in [`bucket`].
     pub fn set_share(&mut self, share: f64, phase: f64) {
         self.share = share;
         self.phase = phase;
     }
 
-    /// Forgets the limit: a new instance has announced none.
+    /// Removes the limit, as a new instance has announced none.
     pub fn reset(&mut self) {
         self.limit = Limit::default();
         self.bucket = None;
     }
 
-    /// The limit in force for all boxes together, if there is one.
+    /// Returns the limit in force for all boxes together; `None` if there is none.
     pub fn rate(&self) -> Option<Rate> {
         self.limit.rate()
     }
 
-    /// Applies the head of a response to a request that was sent at `sent`; returns whether the limit
-    /// has changed.
+    /// Applies the headers of a response to a request that was sent at `sent` and returns whether the limit has
+    /// changed.
     pub fn observe(&mut self, announcement: Announcement, sent: Moment, now: Moment) -> bool {
         let changed = self.limit.observe(announcement, Some(sent), now);
         let parameters = self.parameters();
@@ -203,17 +203,17 @@
         changed
     }
 
-    /// Time until a request may be sent.
+    /// Returns the time until a request may be sent.
     pub fn permit_after(&self, now: Moment) -> Duration {
-        // Taken from a copy.
-        let mut trial = *self;
-        trial.take(now).err().unwrap_or_default()
+        // The permit is taken from a copy.
+        let mut copy = *self;
+        copy.take(now).err().unwrap_or_default()
     }
 
-    /// Takes one request.
+    /// Takes a permit for one request.
     ///
     /// # Errors
-    /// The time after which there is one to take.
+    /// The time after which a permit is available.
     pub fn take(&mut self, now: Moment) -> Result<(), Duration> {
         match (self.parameters(), &mut self.bucket) {
             (Some(parameters), Some(bucket)) => bucket.take(&parameters, ONE_REQUEST, now),
--- a/crates/jb-policy/src/rendezvous.rs
+++ b/crates/jb-policy/src/rendezvous.rs
@@ -1,19 +1,18 @@
-//! Rendezvous hashing: the same order of members on every box, without a
-//! message and without any state to warm up.
+//! Rendezvous hashing: every box computes the same order of members without coordination or state.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Hash of a member's name, computed once per member.
+/// Returns the hash of a name, computed once per member.
 pub fn name_hash(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// Lower half of a name's hash, under which boxes speak of what it names.
+/// Returns the lower half of a name's hash, which names the member in messages between boxes.
 pub fn short_hash(hash: u64) -> u32 {
     hash as u32
 }
 
-/// Weight of a member for a key; the greatest weight owns the key.
+/// Returns the weight of a member for a key. The member of the greatest weight owns the key.
 ///
 /// The mixing steps are the finalizer of MurmurHash3 (Appleby, 2008).
 pub fn weight(key: u64, member: u64) -> u64 {
@@ -25,7 +24,7 @@
     x ^ (x >> 33)
 }
 
-/// The `count` members of the greatest weight, the greatest first.
+/// Returns the indexes of the `count` members of the greatest weight, in descending order of weight.
 pub fn top(key: u64, members: impl Iterator<Item = (usize, u64)>, count: usize) -> Vec<usize> {
     let mut best: Vec<(u64, usize)> = Vec::with_capacity(count + 1);
     for (index, member) in members {
@@ -40,7 +39,7 @@
     best.into_iter().map(|(_, index)| index).collect()
 }
 
-/// Place of a hash among all hashes, 0 to 1.
+/// Maps a hash linearly to 0 to 1.
 pub fn fraction(hash: u64) -> f64 {
     hash as f64 / u64::MAX as f64
 }
--- a/crates/jb-policy/src/route/mod.rs
+++ b/crates/jb-policy/src/route/mod.rs
@@ -1,4 +1,4 @@
-//! Choice of the upstream for a request, for one service in one hall.
+//! Choice of the upstream for a request, for one service in one data hall.
 
 mod pool;
 
@@ -12,29 +12,29 @@
 use crate::Moment;
 use crate::prefix::Chain;
 
-/// A request as the choice sees it.
+/// Properties of a request that decide its upstream.
 #[derive(Clone, Debug)]
 pub struct Query {
-    /// Prefixes of the prompt.
+    /// Prefix chain of the prompt.
     pub chain: Chain,
     /// Priority class.
     pub class: Priority,
-    /// Time within which the first token is due.
+    /// Time within which the first token must arrive.
     pub deadline: Duration,
-    /// Upstreams that have failed this request already.
+    /// Upstreams that have already failed this request.
     pub tried: Vec<id::Upstream>,
 }
 
 /// The chosen upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: id::Upstream,
     /// Its last known incarnation.
     pub incarnation: Option<id::Incarnation>,
-    /// Tokens believed to be cached.
+    /// Tokens of the prompt expected to be cached there.
     pub cached_tokens: u32,
-    /// Estimated time to the first token.
+    /// Estimated time to first token.
     pub expected: Duration,
     /// Permit to send the request.
     pub permit: Permit,
@@ -54,6 +54,6 @@
 pub struct Rejection {
     /// Kind of error.
     pub kind: Kind,
-    /// When to come back.
+    /// Time after which to retry.
     pub retry_after: Duration,
 }
--- a/crates/jb-policy/src/route/pool.rs
+++ b/crates/jb-policy/src/route/pool.rs
@@ -1,6 +1,6 @@
-//! State of one service's upstreams, and what happens to it.
+//! State of one service's upstreams in one data hall, and the events that change it.
 
-mod weigh;
+mod score;
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use jb_protocol::{id, service};
 use jb_tree::view::Service;
 
-use self::weigh::Weighed;
+use self::score::Score;
 use super::{Choice, Permit, Query, Rejection};
 use crate::health::Change;
 use crate::prefix::Chain;
@@ -23,21 +23,21 @@
 use crate::upstream::{Applied, Upstream};
 use crate::{Moment, cell};
 
-/// Prefixes remembered for each block that an engine can hold, divided by 8.
-const MARKS_PER_ENGINE_BLOCK: usize = 4;
-/// Most prefixes remembered in each generation, which bounds the memory.
-const MOST_MARKS: usize = 200_000;
-/// Age given to the load in an answer's start, for the way it has come.
-const ANSWER_AGE: Duration = Duration::from_millis(2);
-/// Time over which requests bring retries.
+/// Prefixes tracked for every 8 blocks of an engine's cache.
+const PREFIXES_PER_8_BLOCKS: usize = 4;
+/// Most prefixes tracked in each generation, which bounds the memory.
+const MAX_PREFIXES: usize = 200_000;
+/// Assumed age of the load in the start of a response: the network latency.
+const START_LOAD_AGE: Duration = Duration::from_millis(2);
+/// Window of the retry budget.
 const RETRY_WINDOW: Duration = Duration::from_secs(10);
-/// Retries of each box in that time besides, of which the budget spends 0.8: a box has up to 16
-/// requests at an engine on a busy day, which all fall with it.
-const RESERVE: f64 = 25.0;
-/// Time after which to come back when no upstream is usable.
-const NO_UPSTREAM_PAUSE: Duration = Duration::from_secs(2);
+/// Additional retries of each box in a window, of which the budget spends 0.8: under high load a box has up to 16
+/// requests at one engine, which all fail with it.
+const EXTRA_RETRIES_PER_BOX: f64 = 25.0;
+/// Time to retry after when no upstream is usable.
+const NO_UPSTREAM_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// State of one service's upstreams in one hall.
+/// Upstreams of one service in one data hall, with their state.
 pub struct Pool {
     service: Service,
     upstreams: Vec<Upstream>,
@@ -48,7 +48,7 @@
 }
 
 impl Pool {
-    /// A pool of the service's upstreams in `hall`.
+    /// Creates a pool of the service's upstreams in `hall`.
     pub fn new(service: &Service, hall: &str) -> Self {
         let mut pool = Self {
             prefix_index: PrefixIndex::default(),
@@ -75,31 +75,31 @@
         }
         let after: Vec<id::Upstream> = next.iter().map(|u| u.id.clone()).collect();
         self.upstreams = next;
-        self.cells = cells_of(&self.upstreams);
+        self.cells = group_by_cell(&self.upstreams);
         self.service = service.clone();
-        // Facts name upstreams by their place, and weights by their version.
+        // The known prefixes refer to upstreams by index, and to weights by version.
         if before != after || weights_changed || self.prefix_index.is_empty() {
-            self.prefix_index = PrefixIndex::new(self.marks());
+            self.prefix_index = PrefixIndex::new(self.prefix_capacity());
         }
     }
 
-    fn marks(&self) -> usize {
+    fn prefix_capacity(&self) -> usize {
         let blocks = self.service.cache_tokens / TOKENS_PER_BLOCK;
-        let wanted = blocks as usize * MARKS_PER_ENGINE_BLOCK * self.upstreams.len() / 8;
-        wanted.clamp(1024, MOST_MARKS)
+        let wanted = blocks as usize * PREFIXES_PER_8_BLOCKS * self.upstreams.len() / 8;
+        wanted.clamp(1024, MAX_PREFIXES)
     }
 
-    /// The upstreams.
+    /// Returns all upstreams.
     pub fn upstreams(&self) -> &[Upstream] {
         &self.upstreams
     }
 
-    /// An upstream by name.
+    /// Returns an upstream by name.
     pub fn upstream_mut(&mut self, id: &str) -> Option<&mut Upstream> {
         self.upstreams.iter_mut().find(|u| u.id == id)
     }
 
-    /// The least waiting time of any usable upstream.
+    /// Returns the shortest queueing time of the usable upstreams; [`Duration::MAX`] if there is none.
     pub fn min_wait(&self, now: Moment) -> Duration {
         let usable = self.upstreams.iter().filter(|u| u.is_usable(now));
         usable
@@ -108,8 +108,7 @@
             .unwrap_or(Duration::MAX)
     }
 
-    /// Shares the rate limits of upstreams evenly among so many boxes; `phase`, 0 to 1, differs from box to
-    /// box.
+    /// Divides the rate limits of upstreams evenly among `boxes` boxes; `phase`, 0 to 1, differs from box to box.
     pub fn set_boxes(&mut self, boxes: u32, phase: f64) {
         let share = 1.0 / f64::from(boxes.max(1));
         self.upstreams
@@ -117,36 +116,36 @@
             .for_each(|u| u.limit_mut().set_share(share, phase));
     }
 
-    /// Notes a new request, which brings its share of retries.
+    /// Records a new request, which earns retries.
     pub fn record_request(&mut self, now: Moment) {
         self.budget.record_request(now, RETRY_WINDOW);
     }
 
-    /// Takes one retry of this box's share of the budget; `false` when it is spent.
+    /// Spends one retry of this box's share of the budget, and returns whether there was one.
     pub fn try_spend_retry(&mut self, boxes: u32, now: Moment) -> bool {
         let boxes = boxes.max(1);
-        let bound = Config {
+        let config = Config {
             ratio: f64::from(self.service.retry_percent) / 100.0,
-            extra: RESERVE * f64::from(boxes),
+            extra: EXTRA_RETRIES_PER_BOX * f64::from(boxes),
             window: RETRY_WINDOW,
         };
-        self.budget.try_spend(now, &bound, boxes as usize)
+        self.budget.try_spend(now, &config, boxes as usize)
     }
 
     /// Chooses an upstream and counts the request there.
     ///
     /// # Errors
-    /// Why there is none, and when to come back.
-    pub fn choose(&mut self, ask: &Query, now: Moment) -> Result<Choice, Rejection> {
-        let weighed = self.weigh(ask, now);
-        let best = self.pick(&weighed, ask);
+    /// Why there is none, and when to retry.
+    pub fn choose(&mut self, query: &Query, now: Moment) -> Result<Choice, Rejection> {
+        let scores = self.score_all(query, now);
+        let best = self.pick(&scores, query);
         let Some(best) = best else {
             return Err(Rejection {
                 kind: Kind::NoUpstream,
-                retry_after: self.first_back(now).unwrap_or(NO_UPSTREAM_PAUSE),
+                retry_after: self.next_available_after(now).unwrap_or(NO_UPSTREAM_RETRY_AFTER),
             });
         };
-        self.admit(best, ask)?;
+        self.admit(best, query)?;
         let choice = Choice {
             upstream: self.upstreams[best.index].id.clone(),
             incarnation: self.upstreams[best.index].incarnation(),
@@ -158,22 +157,22 @@
             },
         };
         self.take_permit(best.index, now)?;
-        let missing = ask.chain.tokens - best.cached;
+        let missing = query.chain.tokens - best.cached;
         let cost = self.prefill(missing);
         let upstream = &mut self.upstreams[best.index];
-        upstream.backlog.record_send(ask.class, cost, now);
+        upstream.backlog.record_send(query.class, cost, now);
         upstream.health.note_sent();
         upstream.open += 1;
-        // What is on its way counts as cached: the next prompt with the same
-        // prefix waits behind this one. The answer corrects it.
+        // A prompt in flight counts as cached, as the next prompt with the same prefix is queued behind it. The
+        // start of the response corrects this.
         upstream.insert(missing, now);
         let holder = upstream.holder(engine_index(best.index));
-        self.prefix_index.insert(&ask.chain, holder, ask.chain.tokens);
+        self.prefix_index.insert(&query.chain, holder, query.chain.tokens);
         self.turn = self.turn.wrapping_add(1);
         Ok(choice)
     }
 
-    /// Counts a request against the rate limit of an upstream.
+    /// Takes a permit from the rate limit of an upstream.
     fn take_permit(&mut self, index: usize, now: Moment) -> Result<(), Rejection> {
         let taken = self.upstreams[index].limit_mut().take(now);
         taken.map_err(|retry_after| Rejection {
@@ -182,17 +181,18 @@
         })
     }
 
-    /// Time until the first upstream is back, where all that take work back off or are limited.
-    fn first_back(&self, now: Moment) -> Option<Duration> {
+    /// Returns the time until the first upstream that backs off or is rate-limited accepts requests again; `None`
+    /// if there is none.
+    fn next_available_after(&self, now: Moment) -> Option<Duration> {
         let back = self.upstreams.iter().filter_map(|u| u.back_at(now)).min()?;
         back.checked_sub(now).filter(|time| !time.is_zero())
     }
 
-    /// Weighs the upstreams without choosing, for operators.
-    pub fn explain(&self, ask: &Query, now: Moment) -> Weighing {
-        let mut weighed = self.weigh(ask, now);
-        weighed.sort_by(|a, b| a.cost.total_cmp(&b.cost));
-        let show = |w: Weighed| Candidate {
+    /// Evaluates the upstreams without choosing one, for the explain command of operators.
+    pub fn explain(&self, query: &Query, now: Moment) -> Weighing {
+        let mut scores = self.score_all(query, now);
+        scores.sort_by(|a, b| a.cost.total_cmp(&b.cost));
+        let show = |w: Score| Candidate {
             upstream: self.upstreams[w.index].id.clone(),
             wait_ms: w.wait.as_secs_f64() * 1e3,
             cached_tokens: w.cached,
@@ -200,13 +200,13 @@
             cost_ms: w.cost * 1e3,
         };
         Weighing {
-            candidates: weighed.into_iter().map(show).collect(),
+            candidates: scores.into_iter().map(show).collect(),
             left_out: self.upstreams.iter().filter_map(|u| u.left_out(now)).collect(),
         }
     }
 
-    /// Takes the start of an answer: the engine's incarnation, its load, and
-    /// how much of the prompt it had cached.
+    /// Records the start of a response: the engine's incarnation, its load, and how much of the prompt it had
+    /// cached. Returns whether the incarnation is new.
     pub fn record_start(&mut self, id: &str, chain: &Chain, start: &Start, now: Moment) -> bool {
         let Some(index) = self.index_of(id) else {
             return false;
@@ -215,7 +215,7 @@
         let new = upstream.note_incarnation(start.incarnation);
         upstream
             .backlog
-            .apply_report(&start.load, now.saturating_sub(ANSWER_AGE));
+            .apply_report(&start.load, now.saturating_sub(START_LOAD_AGE));
         let holder = upstream.holder(engine_index(index));
         self.prefix_index
             .remove_beyond(chain, holder.engine, start.cached_tokens);
@@ -223,14 +223,15 @@
         new
     }
 
-    /// Takes an engine's report; `true` when it shows a new incarnation.
+    /// Records an engine's report and returns whether it shows a new incarnation.
     pub fn record_report(&mut self, id: &str, report: &Report, now: Moment) -> bool {
         let (model, weights) = (self.service.model.clone(), self.service.weights.clone());
         self.upstream_mut(id)
             .is_some_and(|u| u.note_report(report, &model, &weights, now))
     }
 
-    /// Applies the signals of an upstream's response to a request that was sent at `sent`.
+    /// Applies the signals of an upstream's response to a request that was sent at `sent`. `None` if the upstream is
+    /// unknown.
     pub fn apply_signals(
         &mut self,
         id: &str,
@@ -241,31 +242,32 @@
         Some(self.upstream_mut(id)?.apply_signals(signals, sent, now))
     }
 
-    /// Notes that a request ended well.
+    /// Records that a request succeeded.
     pub fn record_success(&mut self, id: &str) -> Change {
-        self.close(id).map_or(Change::None, |u| u.health.note_success())
+        self.end_request(id)
+            .map_or(Change::None, |u| u.health.note_success())
     }
 
-    /// Notes that a request failed through the upstream's fault.
+    /// Records that a request failed by the upstream's fault.
     pub fn record_failure(&mut self, id: &str, now: Moment) -> Change {
-        self.close(id)
+        self.end_request(id)
             .map_or(Change::None, |u| u.health.note_failure(now))
     }
 
-    /// Notes that a request ended for another reason, such as a caller gone.
+    /// Records that a request ended for another reason, such as a disconnected caller.
     pub fn record_abandonment(&mut self, id: &str) {
-        if let Some(upstream) = self.close(id) {
+        if let Some(upstream) = self.end_request(id) {
             upstream.health.note_inconclusive();
         }
     }
 
-    /// Notes that an upstream denied a request without running it.
+    /// Records that an upstream rejected a request without running it.
     pub fn record_denial(&mut self, id: &str, now: Moment) {
-        if let Some(upstream) = self.close(id) {
+        if let Some(upstream) = self.end_request(id) {
             upstream.health.note_inconclusive();
         }
-        // A plain service may deny one call and take the next; an engine
-        // denies when it drains or has other weights.
+        // A plain service may reject one call and accept the next; an engine rejects calls when it drains or has
+        // other weights.
         if self.service.kind == service::Kind::Engine
             && let Some(upstream) = self.upstream_mut(id)
         {
@@ -273,7 +275,7 @@
         }
     }
 
-    fn close(&mut self, id: &str) -> Option<&mut Upstream> {
+    fn end_request(&mut self, id: &str) -> Option<&mut Upstream> {
         let upstream = self.upstream_mut(id)?;
         upstream.open = upstream.open.saturating_sub(1);
         Some(upstream)
@@ -283,24 +285,24 @@
         self.upstreams.iter().position(|u| u.id == id)
     }
 
-    fn admit(&self, best: &Weighed, ask: &Query) -> Result<(), Rejection> {
+    fn admit(&self, best: &Score, query: &Query) -> Result<(), Rejection> {
         if best.wait > self.service.max_wait {
             return Err(Rejection {
                 kind: Kind::Overloaded,
                 retry_after: best.wait - self.service.max_wait,
             });
         }
-        if best.expected > ask.deadline {
+        if best.expected > query.deadline {
             return Err(Rejection {
                 kind: Kind::DeadlineUnreachable,
-                retry_after: best.expected - ask.deadline,
+                retry_after: best.expected - query.deadline,
             });
         }
         Ok(())
     }
 }
 
-fn cells_of(upstreams: &[Upstream]) -> Vec<Vec<usize>> {
+fn group_by_cell(upstreams: &[Upstream]) -> Vec<Vec<usize>> {
     let count = cell::count(upstreams.len());
     let mut cells = vec![Vec::new(); count as usize];
     for (index, upstream) in upstreams.iter().enumerate() {
