--- a/crates/jb-policy/benches/decide.rs
+++ b/crates/jb-policy/benches/decide.rs
@@ -1,4 +1,4 @@
-//! Cost of the decisions at today's size and at the size designed for.
+//! Cost of the policy decisions at a present fleet size and at the largest one supported.
 
 #![allow(missing_docs, clippy::expect_used)]
 
@@ -19,10 +19,10 @@
 use jb_tree::key::Digest;
 use jb_tree::view::{Service, View};
 
-/// Engines of a hall today, and at the size designed for.
+/// Engines of a data hall at present, and at the largest supported size.
 const ENGINES: [usize; 2] = [9, 860];
 const CUSTOMERS: usize = 550;
-/// Members of a hall, and of all halls, at the size designed for.
+/// Boxes of one data hall, and of all halls, at the largest supported size.
 const MEMBERS: [usize; 2] = [76, 380];
 
 fn service(engines: usize) -> Service {
@@ -39,7 +39,7 @@
     View::compile(&tree, 1).services["s"].clone()
 }
 
-fn ask(n: usize) -> Query {
+fn query(n: usize) -> Query {
     let customer = format!("c{}", n % CUSTOMERS);
     let scope = Scope {
         customer: &customer,
@@ -60,16 +60,16 @@
 }
 
 fn choice(criterion: &mut Criterion) {
-    let asks: Vec<Query> = (0..1000).map(ask).collect();
+    let queries: Vec<Query> = (0..1000).map(query).collect();
     for engines in ENGINES {
         let mut pool = Pool::new(&service(engines), "h");
         let mut n = 0_u64;
         criterion.bench_function(&format!("choice/{engines}_engines"), |bencher| {
             bencher.iter(|| {
                 n += 1;
-                let ask = &asks[n as usize % asks.len()];
+                let query = &queries[n as usize % queries.len()];
                 let chosen = pool
-                    .choose(black_box(ask), Duration::from_secs(n))
+                    .choose(black_box(query), Duration::from_secs(n))
                     .expect("an upstream");
                 pool.record_abandonment(&chosen.upstream);
             });
@@ -77,8 +77,8 @@
     }
 }
 
-fn fact(criterion: &mut Criterion) {
-    let asks: Vec<Query> = (0..1000).map(ask).collect();
+fn response_start(criterion: &mut Criterion) {
+    let queries: Vec<Query> = (0..1000).map(query).collect();
     let mut pool = Pool::new(&service(9), "h");
     let start = Start {
         incarnation: 1,
@@ -90,14 +90,16 @@
     criterion.bench_function("answer/learn_whole_prompt", |bencher| {
         bencher.iter(|| {
             n += 1;
-            let ask = &asks[n as usize % asks.len()];
-            pool.record_start("s/e1", black_box(&ask.chain), &start, Duration::from_secs(n));
+            let query = &queries[n as usize % queries.len()];
+            pool.record_start("s/e1", black_box(&query.chain), &start, Duration::from_secs(n));
         });
     });
 }
 
 fn hash(criterion: &mut Criterion) {
-    criterion.bench_function("prefix/hash_14_kB", |bencher| bencher.iter(|| ask(black_box(7))));
+    criterion.bench_function("prefix/hash_14_kB", |bencher| {
+        bencher.iter(|| query(black_box(7)))
+    });
 }
 
 fn admission(criterion: &mut Criterion) {
@@ -166,5 +168,13 @@
     });
 }
 
-criterion_group!(benches, choice, fact, hash, admission, membership, claims);
+criterion_group!(
+    benches,
+    choice,
+    response_start,
+    hash,
+    admission,
+    membership,
+    claims
+);
 criterion_main!(benches);
--- a/crates/jb-policy/tests/admission.rs
+++ b/crates/jb-policy/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Which prompts are sent at once, which wait in the box, and how fast engines read.
+//! Admission: which prompts are sent, queued or rejected; and the measured prefill rate.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
     Duration::from_millis(millis)
 }
 
-/// A request without haste of its own beside ones that want a first token in 400 ms.
+/// A request with a target of 600 ms beside urgent ones with a target of 400 ms.
 fn request(waited: u64) -> Request {
     Request {
         waited: ms(waited),
@@ -18,49 +18,44 @@
     }
 }
 
-fn judged(waited: u64, first: u64, queued: bool) -> Decision {
-    let first = ms(first);
-    decide(
-        &request(waited),
-        &Estimate {
-            ttft: first,
-            has_queue: queued,
-        },
-    )
+fn decided(waited: u64, ttft: u64, has_queue: bool) -> Decision {
+    let ttft = ms(ttft);
+    decide(&request(waited), &Estimate { ttft, has_queue })
 }
 
 #[test]
-fn prompt_goes_to_an_engine_where_nothing_waits_however_long_it_is() {
-    assert_eq!(judged(0, 1900, false), Decision::Send);
+fn prompt_of_any_length_is_sent_to_an_engine_without_a_queue() {
+    assert_eq!(decided(0, 1900, false), Decision::Send);
 }
 
 #[test]
-fn prompt_that_would_make_urgent_ones_late_waits() {
-    assert_eq!(judged(0, 250, true), Decision::Send);
-    assert_eq!(judged(0, 270, true), Decision::Queue);
+fn prompt_that_would_delay_urgent_ones_is_queued() {
+    assert_eq!(decided(0, 250, true), Decision::Send);
+    assert_eq!(decided(0, 270, true), Decision::Queue);
 }
 
 #[test]
-fn late_prompt_goes_only_where_little_is_read_before_it() {
-    assert_eq!(judged(550, 100, true), Decision::Send);
-    assert_eq!(judged(550, 110, true), Decision::Reject(ms(0)));
+fn late_prompt_is_sent_only_to_an_engine_with_a_short_queue() {
+    assert_eq!(decided(550, 100, true), Decision::Send);
+    assert_eq!(decided(550, 110, true), Decision::Reject(ms(0)));
 }
 
-/// It waited until its caller was about to leave, and took from those that could be in time then.
+/// Guards against late prompts that wait until their caller is about to give up and then delay prompts that could
+/// still meet their targets.
 #[test]
-fn prompt_that_cannot_be_in_time_any_more_is_refused_at_once_with_the_time_to_come_back() {
-    assert_eq!(judged(200, 400, true), Decision::Queue);
-    assert_eq!(judged(200, 401, true), Decision::Reject(ms(141)));
-    assert_eq!(judged(1500, 500, true), Decision::Reject(ms(240)));
-    assert_eq!(judged(0, 2500, true), Decision::Reject(ms(2240)));
+fn prompt_that_misses_its_target_is_rejected_at_once_with_a_retry_time() {
+    assert_eq!(decided(200, 400, true), Decision::Queue);
+    assert_eq!(decided(200, 401, true), Decision::Reject(ms(141)));
+    assert_eq!(decided(1500, 500, true), Decision::Reject(ms(240)));
+    assert_eq!(decided(0, 2500, true), Decision::Reject(ms(2240)));
 }
 
 #[test]
-fn reading_speed_follows_first_tokens() {
-    let mut pace = PrefillRate::default();
+fn prefill_rate_follows_measured_first_tokens() {
+    let mut rate = PrefillRate::default();
     for _ in 0..200 {
-        pace.record(100, ms(900));
-        pace.record(6000, ms(220));
+        rate.record(100, ms(900));
+        rate.record(6000, ms(220));
     }
-    assert!((pace.tokens_per_ms() - 30.0).abs() < 1.0, "{pace:?}");
+    assert!((rate.tokens_per_ms() - 30.0).abs() < 1.0, "{rate:?}");
 }
--- a/crates/jb-policy/tests/spread.rs
+++ b/crates/jb-policy/tests/distribution.rs
@@ -1,4 +1,4 @@
-//! Limits, migration, cells and membership.
+//! Distribution over halls, boxes and cells: migration, customer limits, cells, and membership.
 
 #![allow(clippy::expect_used)]
 
@@ -32,18 +32,18 @@
 }
 
 #[test]
-fn a_growing_share_never_moves_a_family_back() {
+fn growing_share_never_moves_a_family_back() {
     for family in 0..2000_u64 {
         let family = rendezvous::name_hash(&family.to_string());
         let moved = |share| hall::assigned(&route(share), family) == Some("b");
-        let gates = [0, 10, 25, 50, 100].map(moved);
-        assert!(gates.is_sorted(), "{gates:?}");
-        assert!(!gates[0] && gates[4]);
+        let moves = [0, 10, 25, 50, 100].map(moved);
+        assert!(moves.is_sorted(), "{moves:?}");
+        assert!(!moves[0] && moves[4]);
     }
 }
 
 #[test]
-fn a_hall_that_is_lost_is_replaced_by_another() {
+fn unusable_hall_is_replaced_by_another() {
     let hall = |name: &str, usable| Summary {
         hall: name.to_owned(),
         usable,
@@ -54,34 +54,34 @@
 }
 
 #[test]
-fn a_customer_is_held_to_its_rate_and_told_when_to_come_back() {
+fn customer_over_its_rate_is_rejected_with_a_retry_time() {
     let customer = customer("tokens_per_second = 1000");
     let mut limits = Limits::default();
     assert!(limits.admit(&customer, 1, 1500, Duration::ZERO).is_ok());
-    let over = limits
+    let exceeded = limits
         .admit(&customer, 1, 1500, Duration::ZERO)
         .expect_err("over the rate");
-    assert_eq!(over.kind, Kind::RateLimited);
-    assert!(limits.admit(&customer, 1, 1500, over.retry_after).is_ok());
+    assert_eq!(exceeded.kind, Kind::RateLimited);
+    assert!(limits.admit(&customer, 1, 1500, exceeded.retry_after).is_ok());
 }
 
 #[test]
-fn open_requests_are_counted_over_the_boxes_of_a_hall() {
+fn concurrency_limit_is_divided_among_the_boxes_of_a_hall() {
     let customer = customer("max_concurrent = 4");
     let mut limits = Limits::default();
     for _ in 0..2 {
         assert!(limits.admit(&customer, 2, 1, Duration::ZERO).is_ok());
     }
-    let over = limits
+    let exceeded = limits
         .admit(&customer, 2, 1, Duration::ZERO)
         .expect_err("half of four are open");
-    assert_eq!(over.kind, Kind::ConcurrencyLimited);
+    assert_eq!(exceeded.kind, Kind::ConcurrencyLimited);
     limits.release("c");
     assert!(limits.admit(&customer, 2, 1, Duration::ZERO).is_ok());
 }
 
 #[test]
-fn a_lost_box_moves_only_its_own_cells() {
+fn lost_box_moves_only_its_own_cells() {
     let boxes: Vec<String> = (0..20).map(|n| format!("box-{n}")).collect();
     let owner = |cell, without: usize| {
         let left = boxes.iter().enumerate().filter(|(n, _)| *n != without);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_dead_box_comes_back_only_with_a_newer_heartbeat() {
+fn dead_box_returns_only_with_a_newer_heartbeat() {
     let mut members = Members::new(member("me", 1));
     assert_eq!(members.merge(member("other", 5), Duration::ZERO), Change::Found);
     members.failed("other");
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn heartbeats_never_go_back_in_any_order_of_messages() {
+fn heartbeats_never_decrease_for_any_order_of_messages() {
     for seed in 0..200 {
         let mut source = Gen::from_size_and_seed(100, seed);
         let messages = Vec::<(u8, u64)>::arbitrary(&mut source);
--- a/crates/jb-policy/tests/leader.rs
+++ b/crates/jb-policy/tests/leader.rs
@@ -1,4 +1,4 @@
-//! Leaders: an order is given only well within the lease.
+//! Leaders: an order is planned only within the lease and not near its end.
 
 #![allow(clippy::expect_used)]
 
@@ -19,7 +19,7 @@
     }
 }
 
-fn wanted(checks_fence: bool) -> Desired {
+fn desired(checks_fence: bool) -> Desired {
     Desired {
         upstream: "s/e".to_owned(),
         model: "m".to_owned(),
@@ -28,7 +28,7 @@
     }
 }
 
-fn old() -> Loaded {
+fn outdated() -> Loaded {
     Loaded {
         model: "m".to_owned(),
         weights: "w1".to_owned(),
@@ -40,36 +40,41 @@
 }
 
 #[test]
-fn no_order_is_given_without_a_lease_or_near_its_end() {
+fn no_order_is_planned_without_a_lease_or_near_its_end() {
     let mut leader = Leader::default();
-    assert!(leader.plan(&wanted(true), &old(), at(0)).is_none());
+    assert!(leader.plan(&desired(true), &outdated(), at(0)).is_none());
     leader.record_grant(&lease(1), at(0));
-    assert!(leader.plan(&wanted(true), &old(), at(TTL_MS - 1000)).is_none());
-    let planned = leader.plan(&wanted(true), &old(), at(100)).expect("an order");
+    assert!(
+        leader
+            .plan(&desired(true), &outdated(), at(TTL_MS - 1000))
+            .is_none()
+    );
+    let planned = leader
+        .plan(&desired(true), &outdated(), at(100))
+        .expect("an order");
     assert_eq!((planned.order.fence, planned.order.weights.as_str()), (1, "w2"));
 }
 
 #[test]
-fn a_frozen_leader_that_believes_in_its_lease_gives_no_order() {
+fn suspended_leader_plans_no_order_after_its_lease_has_ended() {
     let mut leader = Leader::default();
     leader.record_grant(&lease(1), at(0));
-    assert!(leader.plan(&wanted(true), &old(), at(60_000)).is_none());
+    assert!(leader.plan(&desired(true), &outdated(), at(60_000)).is_none());
 }
 
 #[test]
-fn an_engine_that_checks_nothing_gets_orders_only_after_the_old_ones_are_over() {
+fn engine_without_fence_checks_gets_orders_only_after_those_of_the_previous_leader() {
     let mut leader = Leader::default();
     for renewal in 0..4 {
         leader.record_grant(&lease(2), at(renewal * 3000));
     }
-    assert!(leader.plan(&wanted(false), &old(), at(7900)).is_none());
-    assert!(leader.plan(&wanted(false), &old(), at(9100)).is_some());
+    assert!(leader.plan(&desired(false), &outdated(), at(7900)).is_none());
+    assert!(leader.plan(&desired(false), &outdated(), at(9100)).is_some());
 }
 
-/// Two boxes take turns as the platform's lease says; each may sleep at any
-/// time and wake up with its old belief.
+/// Two boxes hold the lease alternately; each may be suspended at any time and resume with outdated state.
 #[test]
-fn orders_of_two_leaders_never_overlap_however_they_sleep() {
+fn orders_of_two_leaders_never_overlap_when_they_are_suspended() {
     for seed in 0..200 {
         let mut source = Gen::from_size_and_seed(80, seed);
         let steps = Vec::<(bool, bool, u8)>::arbitrary(&mut source);
@@ -83,7 +88,7 @@
                 (holder, until) = (who, now + at(TTL_MS));
                 boxes[who].record_grant(&lease(fence), now);
             }
-            let planned = boxes[who].plan(&wanted(true), &old(), now);
+            let planned = boxes[who].plan(&desired(true), &outdated(), now);
             assert!(planned.is_none() || (who == holder && now < until), "seed {seed}");
         }
     }
--- a/crates/jb-policy/tests/placement.rs
+++ b/crates/jb-policy/tests/placement.rs
@@ -1,4 +1,4 @@
-//! The choice of an upstream, what engines keep, and the shared retry budget.
+//! Placement of requests on upstreams, prefix caches, the shared retry budget, and the age of weights.
 
 #![allow(clippy::expect_used)]
 
@@ -9,9 +9,9 @@
 use jb_policy::retry_budget::{Budget, Config};
 use jb_policy::weights::{History, Overdue};
 
-fn candidate(name: u64) -> Candidate {
+fn candidate(name_hash: u64) -> Candidate {
     Candidate {
-        name_hash: name,
+        name_hash,
         own_hall: true,
         running: 0,
         slots: 8,
@@ -23,15 +23,15 @@
     }
 }
 
-fn prompt(parts: &[(u64, u64)]) -> Vec<Segment> {
-    parts
+fn prompt(segments: &[(u64, u64)]) -> Vec<Segment> {
+    segments
         .iter()
-        .map(|&(part, tokens)| Segment { id: part, tokens })
+        .map(|&(segment, tokens)| Segment { id: segment, tokens })
         .collect()
 }
 
 #[test]
-fn all_boxes_take_the_same_engine_for_a_new_family() {
+fn all_boxes_choose_the_same_engine_for_a_new_prefix_group() {
     let prompt = prompt(&[(1, 2500), (2, 3800), (3, 900)]);
     let demand = Demand {
         prompt: &prompt,
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn engine_that_keeps_the_prompt_wins_until_its_queue_costs_more_than_reading() {
+fn cached_engine_is_chosen_until_its_queue_costs_more_than_prefill_elsewhere() {
     let prompt = prompt(&[(1, 2500), (2, 3800), (3, 900)]);
     let demand = Demand {
         prompt: &prompt,
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn full_slow_old_and_far_upstreams_come_later() {
+fn full_slow_stale_and_remote_upstreams_cost_more() {
     let demand = Demand::default();
     let worse: [fn(&mut Candidate); 4] = [
         |c| c.running = 8,
@@ -78,16 +78,16 @@
     assert_eq!(best(&[], &demand, &CostModel::default()), None);
 }
 
-/// Engines of its family were a third slower than others and filled up first, and answers on
-/// replaced weights came from engines that kept next to nothing for it.
+/// Guards against prompts that queue at the engine of their prefix group, though it is a third slower than others,
+/// and against responses on replaced weights by engines that have cached almost nothing of the prompt.
 #[test]
-fn prompt_that_shares_little_goes_by_load_and_to_the_newest_weights() {
+fn unshared_prompt_is_placed_by_load_and_on_the_newest_weights() {
     let prompt = prompt(&[(1, 119), (2, 79), (3, 628)]);
     let demand = Demand {
         prompt: &prompt,
         bytes: 0,
     };
-    let tuning = CostModel::default().for_unshared_prompt();
+    let model = CostModel::default().for_unshared_prompt();
     let mut engines = [candidate(1), candidate(2)];
     engines[0].cached_tokens = 198;
     for engine in &mut engines {
@@ -96,16 +96,16 @@
         engine.slots = 32;
     }
     engines[1].running = 15;
-    assert_eq!(best(&engines, &demand, &tuning), Some(1));
+    assert_eq!(best(&engines, &demand, &model), Some(1));
     engines[1].has_stale_weights = true;
-    assert_eq!(best(&engines, &demand, &tuning), Some(0));
-    // Not at any price.
+    assert_eq!(best(&engines, &demand, &model), Some(0));
+    // A long queue costs more than stale weights.
     engines[0].queued_tokens = 15_000;
-    assert_eq!(best(&engines, &demand, &tuning), Some(1));
+    assert_eq!(best(&engines, &demand, &model), Some(1));
 }
 
 #[test]
-fn part_is_kept_until_as_much_as_the_memory_holds_came_after_it() {
+fn segment_is_cached_until_the_capacity_has_been_inserted_after_it() {
     let first = prompt(&[(1, 100), (2, 200)]);
     let mut cache = PrefixCache::default();
     cache.set_capacity(1000);
@@ -114,7 +114,7 @@
     assert_eq!(cache.cached_tokens(&prompt(&[(1, 100), (9, 10), (2, 200)])), 100);
     cache.insert(std::iter::empty(), 900);
     assert_eq!(cache.cached_tokens(&first), 300);
-    // Used again, they stay; unused, they go.
+    // Segments that are used again stay; unused ones are evicted.
     cache.insert(first.iter().copied(), 0);
     cache.insert(std::iter::empty(), 1001);
     assert_eq!(cache.cached_tokens(&first), 0);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn shares_of_all_boxes_together_stay_within_the_bound() {
+fn retries_of_all_boxes_together_stay_within_the_limit() {
     let bound = Config {
         ratio: 0.2,
         extra: 56.0,
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn budget_comes_back_when_the_window_has_passed() {
+fn retry_budget_is_restored_after_the_window() {
     let bound = Config {
         ratio: 0.2,
         extra: 8.0,
@@ -159,10 +159,9 @@
     assert!(budget.try_spend(start + Duration::from_secs(11), &bound, 1));
 }
 
-/// A newer version that was named meanwhile made old engines look young again (grown site,
-/// seed 720381528506).
+/// Guards against engines with old weights that count as recent again after another version is released.
 #[test]
-fn time_of_old_weights_runs_from_the_first_version_after_them() {
+fn age_of_old_weights_counts_from_the_first_newer_version() {
     let (second, bound) = (Duration::from_secs(1), Duration::from_secs(10));
     let mut history = History::default();
     assert!(history.note(2, Some(second)));
@@ -178,10 +177,10 @@
     assert_eq!(started.overdue(2, second, bound), Overdue::Unknown);
 }
 
-/// A box that started after a naming let the older weights serve for as long as no engine had
-/// the newest: 14 s after the naming with a bound of 8.
+/// Guards against a box that starts after a release and lets older weights serve for as long as no engine has the
+/// newest ones, which was 14 s after the release with a limit of 8 s.
 #[test]
-fn naming_before_the_start_is_as_old_as_the_start_at_least() {
+fn release_before_the_start_is_at_least_as_old_as_the_start() {
     let (second, bound) = (Duration::from_secs(1), Duration::from_secs(10));
     let mut history = History::default();
     history.note(3, None);
@@ -201,7 +200,7 @@
 }
 
 #[test]
-fn among_many_engines_a_new_family_stays_at_its_two() {
+fn among_many_engines_a_new_prefix_group_stays_on_its_two() {
     let prompt = prompt(&[(1, 2500), (2, 3800), (3, 900)]);
     let demand = Demand {
         prompt: &prompt,
@@ -211,19 +210,22 @@
     let mut taken = Vec::new();
     for _ in 0..3 {
         let at = best(&engines, &demand, &CostModel::default()).expect("an engine");
-        // The load of the last choice is known; all other engines look idle.
+        // The load of the last choice is known; all other engines seem idle.
         engines[at].queued_tokens += 60_000;
         taken.push(at);
     }
     assert_ne!(
         taken[0], taken[1],
-        "the second takes what is too much for the first"
+        "the second engine takes the load that is too much for the first"
+    );
+    assert!(
+        taken[..2].contains(&taken[2]),
+        "no third engine prefills the segments"
     );
-    assert!(taken[..2].contains(&taken[2]), "no third engine reads the parts");
 }
 
 #[test]
-fn reading_shared_parts_again_costs_more_than_a_short_queue() {
+fn prefilling_shared_segments_again_costs_more_than_a_short_queue() {
     let prompt = prompt(&[(1, 2500), (2, 3800), (3, 900)]);
     let demand = Demand {
         prompt: &prompt,
@@ -231,7 +233,7 @@
     };
     let mut engines: Vec<_> = (1..=9).map(candidate).collect();
     engines[4].cached_tokens = 6300;
-    // Reading what waits takes longer than reading the shared parts once more.
+    // Prefilling the queue takes longer than prefilling the shared segments again.
     engines[4].queued_tokens = 15_000;
     assert_eq!(best(&engines, &demand, &CostModel::default()), Some(4));
     engines[4].queued_tokens = 60_000;
--- a/crates/jb-policy/tests/quota.rs
+++ b/crates/jb-policy/tests/quota.rs
@@ -1,10 +1,10 @@
-//! Customers' limits over a whole fleet: how close each way keeps them, from both sides.
+//! Customers' limits over a whole fleet: how exactly each enforcement method keeps them, from both sides.
 //!
-//! The pattern is the present fleet: 90 boxes in 4 data halls, none of which sees more than a few
-//! prompts a second of one customer; long prompts of 9,200 tokens and short ones of 860, as many
-//! of each as its callers send. A customer may use 1.8 times its usual; on its worst days it sends
-//! 7.5 times that. Operators tolerate a tenth and 110,000 tokens in 8 s. No network: word of
-//! others is old by a constant time.
+//! The model is a fleet of 90 boxes in 4 data halls, none of which sees more than a few prompts per second of one
+//! customer, with long prompts of 9,200 tokens and short ones of 860 in the proportion that callers send. A limit is
+//! 1.8 times the usual rate of a customer; at worst a customer sends 7.5 times its usual rate. Operators tolerate an
+//! overrun of 10 % and 110,000 tokens in 8 s. The model has no network: state of other boxes is known after a
+//! constant time.
 
 #![allow(clippy::expect_used)]
 
@@ -21,21 +21,21 @@
 const SHORT: u64 = 860;
 /// Share of long prompts among the requests of a customer.
 const LONG_SHARE: f64 = 0.36;
-const USUAL_OF_LIMIT: f64 = 1.0 / 1.8;
-const HOT: f64 = 7.5;
+const USUAL_SHARE: f64 = 1.0 / 1.8;
+const PEAK_FACTOR: f64 = 7.5;
 const WINDOW: Duration = Duration::from_secs(8);
-const LENGTH: f64 = 24.0;
+const DURATION_S: f64 = 24.0;
 const TOLERANCE: Tolerance = Tolerance {
     window: WINDOW,
     overrun_ratio: 0.1,
     slack: 110_000.0,
 };
-/// Age of what boxes hear of each other through leads.
-const TOLD_LATE: f64 = 0.4;
-/// Time for which a batch of tokens is handed out.
-const BATCH: f64 = 0.25;
-/// Time after which boxes know who hears whom.
-const COUNTED_LATE: f64 = 1.4;
+/// Age of the usage that boxes report to each other through relay nodes.
+const REPORT_AGE_S: f64 = 0.4;
+/// Time for which a batch of tokens is allocated.
+const BATCH_S: f64 = 0.25;
+/// Time after which boxes know which boxes are reachable.
+const REACHABILITY_DELAY_S: f64 = 1.4;
 
 #[derive(Clone, Copy, Debug)]
 struct Request {
@@ -53,16 +53,16 @@
     Duration::from_secs_f64(seconds)
 }
 
-/// Requests of a customer that sends `load` times its usual.
+/// Returns the requests of a customer that sends `load` times its usual rate.
 fn requests(rate: f64, load: f64, seed: u64) -> Vec<Request> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mean = LONG_SHARE * LONG as f64 + (1.0 - LONG_SHARE) * SHORT as f64;
-    let per_s = rate * USUAL_OF_LIMIT * load / mean;
+    let per_s = rate * USUAL_SHARE * load / mean;
     let mut at = 0.0;
     let mut all = Vec::new();
     loop {
         at += -(1.0 - random.random::<f64>()).ln() / per_s;
-        if at > LENGTH {
+        if at > DURATION_S {
             return all;
         }
         let at_box = random.random_range(0..BOXES);
@@ -80,7 +80,7 @@
     }
 }
 
-fn terms(rate: f64, share: f64) -> Parameters {
+fn parameters(rate: f64, share: f64) -> Parameters {
     Parameters {
         limit: limit(rate),
         tolerance: TOLERANCE,
@@ -88,9 +88,9 @@
     }
 }
 
-/// An account that nothing has been taken from.
-fn full(terms: &Parameters) -> Bucket {
-    Bucket::new(terms, Some(f64::MAX), Duration::ZERO)
+/// Returns a full bucket.
+fn full(parameters: &Parameters) -> Bucket {
+    Bucket::new(parameters, Some(f64::MAX), Duration::ZERO)
 }
 
 fn charge(request: &Request) -> Charge {
@@ -100,90 +100,97 @@
     }
 }
 
-/// What each way lets in.
-type Let = Vec<(f64, u64)>;
+/// Admitted requests: time and tokens.
+type Admissions = Vec<(f64, u64)>;
 
-/// One account for all boxes, asked for each request.
-fn by_account(rate: f64, all: &[Request]) -> Let {
-    let terms = terms(rate, 1.0);
-    let mut account = full(&terms);
-    let mut lets = Let::new();
+/// One bucket for all boxes, used for each request.
+fn by_bucket(rate: f64, all: &[Request]) -> Admissions {
+    let parameters = parameters(rate, 1.0);
+    let mut bucket = full(&parameters);
+    let mut admitted = Admissions::new();
     for request in all {
-        if account.take(&terms, charge(request), moment(request.at)).is_ok() {
-            lets.push((request.at, request.tokens));
+        if bucket
+            .take(&parameters, charge(request), moment(request.at))
+            .is_ok()
+        {
+            admitted.push((request.at, request.tokens));
         }
     }
-    lets
+    admitted
 }
 
-/// Each box judges by what it has let in itself and what the others had told some time ago.
-fn by_told_sums(rate: f64, all: &[Request]) -> Let {
-    let mut lets: Vec<(f64, usize, u64)> = Vec::new();
+/// Each box decides by its own admitted tokens and by those that the others reported some time ago.
+fn by_reported_sums(rate: f64, all: &[Request]) -> Admissions {
+    let mut admitted: Vec<(f64, usize, u64)> = Vec::new();
     for request in all {
-        let known =
-            |(at, at_box, _): &&(f64, usize, u64)| *at_box == request.at_box || *at < request.at - TOLD_LATE;
+        let known = |(at, at_box, _): &&(f64, usize, u64)| {
+            *at_box == request.at_box || *at < request.at - REPORT_AGE_S
+        };
         let mut level = rate;
         let mut last = 0.0;
-        for (at, _, tokens) in lets.iter().filter(known) {
+        for (at, _, tokens) in admitted.iter().filter(known) {
             level = (level + (at - last) * rate).min(rate) - *tokens as f64;
             last = *at;
         }
         level = (level + (request.at - last) * rate).min(rate);
         if level >= request.tokens as f64 {
-            lets.push((request.at, request.at_box, request.tokens));
+            admitted.push((request.at, request.at_box, request.tokens));
         }
     }
-    lets.into_iter().map(|(at, _, tokens)| (at, tokens)).collect()
+    admitted.into_iter().map(|(at, _, tokens)| (at, tokens)).collect()
 }
 
-/// Each box is handed tokens for a time ahead by its even share of the rate, which lapse unused.
-fn by_batches(rate: f64, all: &[Request]) -> Let {
-    let terms = terms(rate, 1.0);
-    let mut account = full(&terms);
+/// Each box is allocated tokens in advance by its even share of the rate, which expire unused.
+fn by_batches(rate: f64, all: &[Request]) -> Admissions {
+    let parameters = parameters(rate, 1.0);
+    let mut bucket = full(&parameters);
     let mut batches = [(0.0_f64, 0_u64); BOXES];
-    let mut lets = Let::new();
+    let mut admitted = Admissions::new();
     for request in all {
         let (until, left) = &mut batches[request.at_box];
         if request.at > *until || *left < request.tokens {
-            let ahead = request.tokens.max((rate * BATCH * 4.0 / BOXES as f64) as u64);
+            let ahead = request.tokens.max((rate * BATCH_S * 4.0 / BOXES as f64) as u64);
             let wanted = Charge {
                 tokens: ahead,
                 urgent: true,
             };
-            if account.take(&terms, wanted, moment(request.at)).is_err() {
+            if bucket.take(&parameters, wanted, moment(request.at)).is_err() {
                 continue;
             }
-            (*until, *left) = (request.at + BATCH, ahead);
+            (*until, *left) = (request.at + BATCH_S, ahead);
         }
         *left -= request.tokens;
-        lets.push((request.at, request.tokens));
+        admitted.push((request.at, request.tokens));
     }
-    lets
+    admitted
 }
 
-/// An even share of the limit at each box.
-fn by_even_shares(rate: f64, all: &[Request]) -> Let {
-    let terms = terms(rate, 1.0 / BOXES as f64);
-    let mut accounts: Vec<Bucket> = (0..BOXES).map(|_| full(&terms)).collect();
-    let mut lets = Let::new();
+/// Each box has a bucket with an even share of the limit.
+fn by_even_shares(rate: f64, all: &[Request]) -> Admissions {
+    let parameters = parameters(rate, 1.0 / BOXES as f64);
+    let mut buckets: Vec<Bucket> = (0..BOXES).map(|_| full(&parameters)).collect();
+    let mut admitted = Admissions::new();
     for request in all {
-        let account = &mut accounts[request.at_box];
-        if account.take(&terms, charge(request), moment(request.at)).is_ok() {
-            lets.push((request.at, request.tokens));
+        let bucket = &mut buckets[request.at_box];
+        if bucket
+            .take(&parameters, charge(request), moment(request.at))
+            .is_ok()
+        {
+            admitted.push((request.at, request.tokens));
         }
     }
-    lets
+    admitted
 }
 
-/// Most that ran in one window, of what is tolerated there.
-fn most_of_tolerated(rate: f64, lets: &[(f64, u64)]) -> f64 {
+/// Returns the largest number of tokens admitted in one window, as a share of what is tolerated.
+fn most_of_tolerated(rate: f64, admitted: &[(f64, u64)]) -> f64 {
     let tolerated = rate * 9.0 + TOLERANCE.overrun(&limit(rate));
     let mut most = 0.0_f64;
     let (mut sum, mut first) = (0.0, 0);
-    for (at, tokens) in lets {
+    for (at, tokens) in admitted {
         sum += *tokens as f64;
-        while lets[first].0 < at - WINDOW.as_secs_f64() {
-            sum -= lets[first].1 as f64;
+        while admitted[first].0 < at - WINDOW.as_secs_f64() {
+            sum -= admitted[first].1 as f64;
             first += 1;
         }
         most = most.max(sum);
@@ -191,27 +198,27 @@
     most / tolerated
 }
 
-/// Share of what an exact limit lets in that is refused.
-fn wrongly_refused(rate: f64, all: &[Request], lets: &[(f64, u64)]) -> f64 {
+/// Returns the share of the tokens that an exact limit admits which the method rejects.
+fn wrongly_rejected(rate: f64, all: &[Request], admitted: &[(f64, u64)]) -> f64 {
     let mut level = rate;
     let mut last = 0.0;
-    let mut owed = 0.0;
+    let mut due = 0.0;
     for request in all {
         level = (level + (request.at - last) * rate).min(rate);
         last = request.at;
         if level >= request.tokens as f64 {
             level -= request.tokens as f64;
-            owed += request.tokens as f64;
+            due += request.tokens as f64;
         }
     }
-    let run: f64 = lets.iter().map(|(_, tokens)| *tokens as f64).sum();
-    (1.0 - run / owed).max(0.0)
+    let run: f64 = admitted.iter().map(|(_, tokens)| *tokens as f64).sum();
+    (1.0 - run / due).max(0.0)
 }
 
-type Way = fn(f64, &[Request]) -> Let;
-const WAYS: [(&str, Way); 4] = [
-    ("account", by_account),
-    ("told sums", by_told_sums),
+type Method = fn(f64, &[Request]) -> Admissions;
+const METHODS: [(&str, Method); 4] = [
+    ("bucket", by_bucket),
+    ("reported sums", by_reported_sums),
     ("batches", by_batches),
     ("even shares", by_even_shares),
 ];
@@ -219,43 +226,46 @@
 const RATES: [f64; 3] = [29_000.0, 220_000.0, 1_068_000.0];
 
 #[test]
-fn account_of_one_box_keeps_a_limit_from_both_sides_and_the_other_ways_do_not() {
-    for (name, way) in WAYS {
+fn only_a_bucket_on_one_box_is_exact_from_both_sides() {
+    for (name, method) in METHODS {
         let mut worst = (0.0_f64, 0.0_f64);
-        for (rate, load) in RATES.into_iter().flat_map(|rate| [(rate, 1.0), (rate, HOT)]) {
+        for (rate, load) in RATES
+            .into_iter()
+            .flat_map(|rate| [(rate, 1.0), (rate, PEAK_FACTOR)])
+        {
             let all = requests(rate, load, 11);
-            let lets = way(rate, &all);
-            let most = most_of_tolerated(rate, &lets);
-            let refused = wrongly_refused(rate, &all, &lets);
+            let admitted = method(rate, &all);
+            let most = most_of_tolerated(rate, &admitted);
+            let rejected = wrongly_rejected(rate, &all, &admitted);
             println!(
-                "{name}: rate {rate}, {load} times the usual: {most:.3} of what is tolerated, {refused:.3} wrongly refused"
+                "{name}: rate {rate}, {load} times the usual: {most:.3} of what is tolerated, {rejected:.3} wrongly rejected"
             );
-            worst = (worst.0.max(most), worst.1.max(refused));
+            worst = (worst.0.max(most), worst.1.max(rejected));
         }
-        let cache_stores = worst.0 <= 1.0 && worst.1 <= 0.01;
-        assert_eq!(cache_stores, name == "account", "{name}: {worst:?}");
+        let is_exact = worst.0 <= 1.0 && worst.1 <= 0.01;
+        assert_eq!(is_exact, name == "bucket", "{name}: {worst:?}");
     }
 }
 
-/// Troubles of a fleet, each at some time.
+/// Faults of a fleet, each at some time.
 #[derive(Clone, Debug)]
-struct Troubles {
+struct Faults {
     seed: u64,
     load: f64,
     /// A data hall is cut off from the others.
     cut: (f64, f64, usize),
-    /// The box with the account dies.
+    /// The box that owns the bucket dies.
     killed: f64,
-    /// All boxes start again and nobody remembers what was used.
+    /// All boxes restart and lose the level of the bucket.
     restarted: f64,
 }
 
-impl Arbitrary for Troubles {
+impl Arbitrary for Faults {
     fn arbitrary(random: &mut Gen) -> Self {
         let mut at = |most: u32| f64::from(u32::arbitrary(random) % (most * 100)) / 100.0;
         let (cut, length) = (at(16), at(8));
         let (killed, restarted) = (at(24), at(24));
-        let load = if at(2) < 1.0 { 1.0 } else { HOT };
+        let load = if at(2) < 1.0 { 1.0 } else { PEAK_FACTOR };
         Self {
             seed: u64::arbitrary(random),
             load,
@@ -266,117 +276,119 @@
     }
 }
 
-/// One side of a fleet: an account, with what its boxes remember of the one before it.
+/// One side of a partition: its bucket, and the level of the previous bucket that its boxes know.
 #[derive(Clone, Default)]
 struct Side {
-    account: Option<Bucket>,
+    bucket: Option<Bucket>,
     left: Option<f64>,
 }
 
-/// What a fleet lets in through its troubles, with the account that each side has.
-fn through(rate: f64, troubles: &Troubles) -> Let {
-    let (cut, healed, hall) = troubles.cut;
+/// Returns the requests that a fleet admits during faults, with one bucket on each side of a partition.
+fn admitted_during(rate: f64, faults: &Faults) -> Admissions {
+    let (cut, healed, hall) = faults.cut;
     let mut sides = [Side::default(), Side::default()];
     let (mut killed, mut restarted) = (false, false);
-    let mut lets = Let::new();
-    for request in requests(rate, troubles.load, troubles.seed) {
-        if !killed && request.at > troubles.killed {
+    let mut admitted = Admissions::new();
+    for request in requests(rate, faults.load, faults.seed) {
+        if !killed && request.at > faults.killed {
             killed = true;
-            sides[0].account = None;
+            sides[0].bucket = None;
         }
-        if !restarted && request.at > troubles.restarted {
+        if !restarted && request.at > faults.restarted {
             restarted = true;
             sides = [Side::default(), Side::default()];
         }
-        let apart = request.at > cut && request.at < healed;
-        let inside = apart && request.hall == hall;
-        let counted = request.at > cut + COUNTED_LATE && request.at < healed + COUNTED_LATE;
-        // Before the cut is counted, boxes in the hall ask another box, which speaks for its hall.
+        let partitioned = request.at > cut && request.at < healed;
+        let inside = partitioned && request.hall == hall;
+        let known = request.at > cut + REACHABILITY_DELAY_S && request.at < healed + REACHABILITY_DELAY_S;
+        // Until the partition is known, boxes in the hall use the bucket of another box, which serves its hall.
         let part = 1.0 / HALLS as f64;
-        let share = match (inside, counted) {
+        let share = match (inside, known) {
             (true, _) => part,
             (false, true) => 1.0 - part,
             (false, false) => 1.0,
         };
-        let terms = terms(rate, share);
+        let parameters = parameters(rate, share);
         let remembered = sides[0].left.or(sides[1].left);
         let side = &mut sides[usize::from(inside)];
         let now = moment(request.at);
-        let account = side
-            .account
-            .get_or_insert_with(|| Bucket::new(&terms, remembered, now));
-        if account.take(&terms, charge(&request), now).is_ok() {
-            lets.push((request.at, request.tokens));
+        let bucket = side
+            .bucket
+            .get_or_insert_with(|| Bucket::new(&parameters, remembered, now));
+        if bucket.take(&parameters, charge(&request), now).is_ok() {
+            admitted.push((request.at, request.tokens));
         }
-        side.left = Some(account.level());
+        side.left = Some(bucket.level());
     }
-    lets
+    admitted
 }
 
 #[test]
-fn limit_holds_through_cuts_dead_keepers_and_restarts() {
-    fn holds(troubles: Troubles) -> bool {
-        let most = |rate: f64| most_of_tolerated(rate, &through(rate, &troubles));
+fn limit_holds_through_partitions_dead_owners_and_restarts() {
+    fn holds(faults: Faults) -> bool {
+        let most = |rate: f64| most_of_tolerated(rate, &admitted_during(rate, &faults));
         let worst = RATES.into_iter().map(most).fold(0.0, f64::max);
         if worst > 1.0 {
-            println!("{worst:.3} of what is tolerated: {troubles:?}");
+            println!("{worst:.3} of what is tolerated: {faults:?}");
         }
         worst <= 1.0
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 7))
         .tests(200)
-        .quickcheck(holds as fn(Troubles) -> bool);
+        .quickcheck(holds as fn(Faults) -> bool);
 }
 
 #[test]
-fn refused_request_is_let_in_after_the_time_that_it_was_told() {
-    let terms = terms(29_000.0, 1.0);
+fn rejected_request_is_admitted_after_its_retry_time() {
+    let parameters = parameters(29_000.0, 1.0);
     let now = WINDOW * 2;
-    let mut account = Bucket::new(&terms, Some(0.0), now);
+    let mut bucket = Bucket::new(&parameters, Some(0.0), now);
     let wanted = Charge {
         tokens: LONG,
         urgent: true,
     };
-    let after = account.take(&terms, wanted, now).expect_err("nothing is left");
-    assert!(account.take(&terms, wanted, now + after / 2).is_err());
-    assert!(account.take(&terms, wanted, now + after).is_ok());
+    let after = bucket
+        .take(&parameters, wanted, now)
+        .expect_err("the bucket is empty");
+    assert!(bucket.take(&parameters, wanted, now + after / 2).is_err());
+    assert!(bucket.take(&parameters, wanted, now + after).is_ok());
 }
 
-/// A bucket of the same bounds let in its rate and no more.
+/// Guards against a bucket that admits no more than its rate and rejects a customer that is slightly over it.
 #[test]
-fn customer_that_sends_a_tenth_more_than_its_rate_is_within_its_limit() {
+fn customer_ten_percent_over_its_rate_is_within_the_tolerance() {
     let rate = 220_000.0;
-    let all = requests(rate, 1.1 / USUAL_OF_LIMIT, 5);
-    let lets = by_account(rate, &all);
-    // Callers come in clusters that are longer than the room.
+    let all = requests(rate, 1.1 / USUAL_SHARE, 5);
+    let admitted = by_bucket(rate, &all);
+    // Arrivals come in clusters that exceed the capacity.
     assert!(
-        lets.len() * 100 >= all.len() * 97,
+        admitted.len() * 100 >= all.len() * 97,
         "{} of {}",
-        lets.len(),
+        admitted.len(),
         all.len()
     );
-    assert!(most_of_tolerated(rate, &lets) <= 1.0);
+    assert!(most_of_tolerated(rate, &admitted) <= 1.0);
 }
 
 #[test]
-fn what_has_not_run_is_given_back_and_what_ran_twice_is_counted() {
-    let terms = terms(29_000.0, 1.0);
-    let mut account = Bucket::new(&terms, Some(10_000.0), Duration::ZERO);
-    account.settle(&terms, 4000.0);
-    assert!((account.level() - 6000.0).abs() < 1.0);
-    account.settle(&terms, -2000.0);
-    assert!((account.level() - 8000.0).abs() < 1.0);
+fn settlement_takes_extra_tokens_and_refunds_unused_ones() {
+    let parameters = parameters(29_000.0, 1.0);
+    let mut bucket = Bucket::new(&parameters, Some(10_000.0), Duration::ZERO);
+    bucket.settle(&parameters, 4000.0);
+    assert!((bucket.level() - 6000.0).abs() < 1.0);
+    bucket.settle(&parameters, -2000.0);
+    assert!((bucket.level() - 8000.0).abs() < 1.0);
 }
 
 #[test]
-fn lower_limit_counts_at_once() {
-    let mut account = full(&terms(1_068_000.0, 1.0));
-    let lower = terms(29_000.0, 1.0);
+fn lower_limit_applies_at_once() {
+    let mut bucket = full(&parameters(1_068_000.0, 1.0));
+    let lower = parameters(29_000.0, 1.0);
     let small = Charge {
         tokens: 1,
         urgent: true,
     };
-    assert!(account.take(&lower, small, Duration::ZERO).is_ok());
-    assert!(account.level() < TOLERANCE.overrun(&limit(29_000.0)));
+    assert!(bucket.take(&lower, small, Duration::ZERO).is_ok());
+    assert!(bucket.level() < TOLERANCE.overrun(&limit(29_000.0)));
 }
--- a/crates/jb-policy/tests/rate_limit.rs
+++ b/crates/jb-policy/tests/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Rate limits of upstreams: what a response announces, and which of several responses holds.
+//! Rate limits of upstreams: parsing, merging of observations, and buckets with one or more owners.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn lowest_readable_value_is_announced() {
+fn lowest_valid_header_value_applies() {
     for (values, expected) in [
         (&[][..], Announcement::Unlimited),
         (&["1.5"], Announcement::Limited(1.5)),
@@ -34,7 +34,7 @@
     }
 }
 
-/// Responses overtake each other: one to an earlier request doesn't lift a limit.
+/// Guards against a limit that is removed by the response to an earlier request: responses overtake each other.
 #[test]
 fn response_to_request_sent_before_the_announcement_keeps_the_limit() {
     let mut limit = Limit::default();
@@ -47,7 +47,7 @@
     assert_eq!(limit.rate(), None);
 }
 
-/// Boxes that received the same observations in different orders would apply different limits.
+/// Guards against different limits on boxes that receive the same observations in different orders.
 #[test]
 fn order_of_observations_does_not_matter() {
     fn property(observations: Vec<(u16, Option<u8>)>) -> bool {
@@ -71,27 +71,27 @@
         .quickcheck(property as fn(Vec<(u16, Option<u8>)>) -> bool);
 }
 
-/// What an upstream tolerates: in any window, one and a half times its limit, and 5 requests.
+/// Upstreams tolerate 1.5 times their limit and 5 requests in any window of this length.
 const WINDOW: Duration = Duration::from_secs(4);
 
 fn allowed(rate: Rate) -> usize {
     (1.5 * rate * WINDOW.as_secs_f64() + 5.0) as usize
 }
 
-/// Largest number of requests in a window, of requests in the order of time.
-fn most_in_a_window(sent: &[Moment]) -> usize {
+/// Returns the largest number of requests in a window; the requests are sorted by time.
+fn largest_in_a_window(sent: &[Moment]) -> usize {
     let mut first = 0;
-    let mut most = 0;
+    let mut largest = 0;
     for (last, at) in sent.iter().enumerate() {
         while sent[first] + WINDOW <= *at {
             first += 1;
         }
-        most = most.max(last + 1 - first);
+        largest = largest.max(last + 1 - first);
     }
-    most
+    largest
 }
 
-/// Moments at which a bucket permits one of the requests that arrive each millisecond.
+/// Returns the moments at which a bucket permits one of the requests that arrive every millisecond.
 fn permitted(bucket: &mut Bucket, rate: Rate, share: f64, span: std::ops::Range<u64>) -> Vec<Moment> {
     let parameters = rate_limit::parameters(rate, share);
     let taken = |now: &Moment| bucket.take(&parameters, ONE_REQUEST, *now).is_ok();
@@ -100,23 +100,23 @@
 
 const RATES: [Rate; 7] = [0.0, 0.3, 1.2, 1.7, 10.0, 100.0, 400.0];
 
-/// The pattern: far more requests than the limit allows, from all boxes, for a minute.
+/// The load is far more requests than the limit allows, for a minute.
 #[test]
-fn one_owner_permits_nearly_all_and_never_more_than_the_limit() {
+fn single_owner_uses_nearly_the_whole_limit_and_never_exceeds_it() {
     for rate in RATES {
         let mut bucket = rate_limit::bucket(&rate_limit::parameters(rate, 1.0), 0.0, at(0));
         let sent = permitted(&mut bucket, rate, 1.0, 0..60_000);
-        let most = most_in_a_window(&sent);
-        assert!(most <= allowed(rate), "{rate}: {most}");
+        let largest = largest_in_a_window(&sent);
+        assert!(largest <= allowed(rate), "{rate}: {largest}");
         let used = sent.len() as f64 / (60.0 * rate);
         assert!(rate < 1.0 || (0.9..=1.1).contains(&used), "{rate}: {used}");
     }
 }
 
-/// A box of each of four data halls may be asked where the owner doesn't answer to some boxes, and the owner
-/// goes on counting all of them as its own.
+/// Boxes that don't reach the owner use a bucket in their own one of four data halls, while the owner still serves
+/// the share of the whole fleet.
 #[test]
-fn second_owner_of_a_hall_beside_the_first_stays_within_the_limit() {
+fn second_owner_in_one_hall_stays_within_the_limit() {
     for rate in RATES {
         let mut sent = Vec::new();
         for share in [1.0, 0.25] {
@@ -124,14 +124,14 @@
             sent.extend(permitted(&mut bucket, rate, share, 0..20_000));
         }
         sent.sort_unstable();
-        let most = most_in_a_window(&sent);
-        assert!(most <= allowed(rate), "{rate}: {most}");
+        let largest = largest_in_a_window(&sent);
+        assert!(largest <= allowed(rate), "{rate}: {largest}");
     }
 }
 
-/// The owner is killed every 3 seconds, each time with a full bucket.
+/// The owner is killed every 3 s, each time with a full bucket.
 #[test]
-fn change_of_the_owner_stays_within_the_limit() {
+fn changes_of_the_owner_stay_within_the_limit() {
     for rate in RATES {
         let mut sent = Vec::new();
         for start in (0..30_000).step_by(3000) {
@@ -139,41 +139,41 @@
             // Requests stop for a while, so that the bucket fills before the change.
             sent.extend(permitted(&mut bucket, rate, 1.0, start + 2000..start + 3000));
         }
-        let most = most_in_a_window(&sent);
-        assert!(most <= allowed(rate), "{rate}: {most}");
+        let largest = largest_in_a_window(&sent);
+        assert!(largest <= allowed(rate), "{rate}: {largest}");
     }
 }
 
-/// Boxes that don't ask each other use even shares, as behind the completions door.
+/// Boxes without coordination use even shares, as for the completions API.
 #[test]
-fn shares_of_all_boxes_stay_within_the_limit_together() {
+fn limiters_of_all_boxes_together_stay_within_the_limit() {
     for boxes in [1, 2, 8, 30, 90, 300] {
         let mut sent = Vec::new();
         for number in 0..boxes {
-            let mut share = Limiter::default();
+            let mut limiter = Limiter::default();
             let count = f64::from(boxes);
-            share.set_share(1.0 / count, f64::from(number) / count);
-            share.observe(Announcement::Limited(10.0), at(0), at(1));
+            limiter.set_share(1.0 / count, f64::from(number) / count);
+            limiter.observe(Announcement::Limited(10.0), at(0), at(1));
             let moments = (1..2000).map(|step| at(10 * step));
-            sent.extend(moments.filter(|now| share.take(*now).is_ok()));
+            sent.extend(moments.filter(|now| limiter.take(*now).is_ok()));
         }
         sent.sort_unstable();
-        let most = most_in_a_window(&sent);
-        assert!(most <= allowed(10.0), "{boxes}: {most}");
+        let largest = largest_in_a_window(&sent);
+        assert!(largest <= allowed(10.0), "{boxes}: {largest}");
         // Of the 200 requests that the limit allows in this time.
         assert!(boxes > 8 || sent.len() >= 180, "{boxes}: {}", sent.len());
     }
 }
 
 #[test]
-fn share_without_a_limit_permits_everything() {
-    let mut share = Limiter::default();
-    assert_eq!(share.permit_after(at(1)), Duration::ZERO);
-    share.observe(Announcement::Limited(1.0), at(0), at(1));
-    assert!(share.permit_after(at(1)) > Duration::ZERO);
-    share.observe(Announcement::Unlimited, at(2), at(3));
-    assert_eq!(share.permit_after(at(3)), Duration::ZERO);
-    share.observe(Announcement::Limited(1.0), at(4), at(5));
-    share.reset();
-    assert_eq!(share.permit_after(at(5)), Duration::ZERO);
+fn limiter_without_a_limit_permits_everything() {
+    let mut limiter = Limiter::default();
+    assert_eq!(limiter.permit_after(at(1)), Duration::ZERO);
+    limiter.observe(Announcement::Limited(1.0), at(0), at(1));
+    assert!(limiter.permit_after(at(1)) > Duration::ZERO);
+    limiter.observe(Announcement::Unlimited, at(2), at(3));
+    assert_eq!(limiter.permit_after(at(3)), Duration::ZERO);
+    limiter.observe(Announcement::Limited(1.0), at(4), at(5));
+    limiter.reset();
+    assert_eq!(limiter.permit_after(at(5)), Duration::ZERO);
 }
--- a/crates/jb-policy/tests/reservation.rs
+++ b/crates/jb-policy/tests/reservation.rs
@@ -1,4 +1,4 @@
-//! What the account of an engine knows of the prompts that all boxes have there.
+//! Reservations at an engine: its load, expired reservations, and when segments are sent to a store.
 
 use std::time::Duration;
 
@@ -9,28 +9,28 @@
 }
 
 #[test]
-fn load_is_what_was_taken_and_not_given_back() {
-    let mut account = Reservations::default();
-    account.reserve(1, 3000, ms(4000));
-    account.reserve(2, 500, ms(4000));
+fn load_is_the_sum_of_unreleased_reservations() {
+    let mut reservations = Reservations::default();
+    reservations.reserve(1, 3000, ms(4000));
+    reservations.reserve(2, 500, ms(4000));
     assert_eq!(
-        account.load(),
+        reservations.load(),
         Load {
             running: 2,
             queued_tokens: 3500
         }
     );
-    account.record_first_token(1);
+    reservations.record_first_token(1);
     assert_eq!(
-        account.load(),
+        reservations.load(),
         Load {
             running: 2,
             queued_tokens: 500
         }
     );
-    assert!(account.release(1));
+    assert!(reservations.release(1));
     assert_eq!(
-        account.load(),
+        reservations.load(),
         Load {
             running: 1,
             queued_tokens: 500
@@ -38,49 +38,51 @@
     );
 }
 
-/// A box that dies gives nothing back: its places count until their requests must have ended.
+/// Guards against slots that stay reserved for ever after their box has died without releasing them.
 #[test]
-fn place_of_a_box_that_died_is_free_once_its_request_must_have_ended() {
-    let mut account = Reservations::default();
-    account.reserve(1, 3000, ms(4000));
-    assert_eq!(account.expire(ms(3999)), 0);
-    assert_eq!(account.load().running, 1);
-    assert_eq!(account.expire(ms(4000)), 1);
-    assert_eq!(account.load(), Load::default());
+fn reservation_of_a_dead_box_expires_at_the_deadline_of_its_request() {
+    let mut reservations = Reservations::default();
+    reservations.reserve(1, 3000, ms(4000));
+    assert_eq!(reservations.expire(ms(3999)), 0);
+    assert_eq!(reservations.load().running, 1);
+    assert_eq!(reservations.expire(ms(4000)), 1);
+    assert_eq!(reservations.load(), Load::default());
 }
 
-/// Two boxes may keep an account for a moment: what was taken at the other one is not counted
-/// down here.
+/// Two boxes may own a table for a moment: a release of a reservation at the other one must not lower the load here.
 #[test]
-fn place_that_another_box_gave_is_not_counted_down() {
-    let mut account = Reservations::default();
-    account.reserve(1, 3000, ms(4000));
-    account.record_first_token(9);
-    assert!(!account.release(9));
-    assert!(account.release(1));
-    assert!(!account.release(1), "a place that comes back twice counts once");
+fn release_of_an_unknown_reservation_changes_nothing() {
+    let mut reservations = Reservations::default();
+    reservations.reserve(1, 3000, ms(4000));
+    reservations.record_first_token(9);
+    assert!(!reservations.release(9));
+    assert!(reservations.release(1));
+    assert!(
+        !reservations.release(1),
+        "a reservation that is released twice counts once"
+    );
 }
 
 #[test]
-fn parts_go_to_a_store_once_and_again_after_a_while() {
-    let mut account = Reservations::default();
-    assert!(account.schedule_store_send(7, true, ms(0)));
-    assert!(!account.is_stored(7, ms(100)), "it is not read yet");
-    assert!(account.is_stored(7, ms(600)));
-    assert!(!account.schedule_store_send(7, true, ms(19_999)));
-    assert!(account.schedule_store_send(7, true, ms(20_000)));
+fn segments_are_sent_to_a_store_once_per_interval() {
+    let mut reservations = Reservations::default();
+    assert!(reservations.schedule_store_send(7, true, ms(0)));
+    assert!(!reservations.is_stored(7, ms(100)), "it is not prefilled yet");
+    assert!(reservations.is_stored(7, ms(600)));
+    assert!(!reservations.schedule_store_send(7, true, ms(19_999)));
+    assert!(reservations.schedule_store_send(7, true, ms(20_000)));
     assert!(
-        account.schedule_store_send(8, true, ms(20_000)),
-        "each family for itself"
+        reservations.schedule_store_send(8, true, ms(20_000)),
+        "each prefix group has its own interval"
     );
 }
 
 #[test]
-fn parts_wait_a_little_for_a_prompt_that_brings_little_of_its_own() {
-    let mut account = Reservations::default();
-    assert!(!account.schedule_store_send(7, false, ms(0)));
-    assert!(account.schedule_store_send(7, true, ms(100)));
-    assert!(!account.schedule_store_send(8, false, ms(0)));
-    assert!(!account.schedule_store_send(8, false, ms(399)));
-    assert!(account.schedule_store_send(8, false, ms(400)));
+fn segments_wait_a_limited_time_for_a_small_prompt() {
+    let mut reservations = Reservations::default();
+    assert!(!reservations.schedule_store_send(7, false, ms(0)));
+    assert!(reservations.schedule_store_send(7, true, ms(100)));
+    assert!(!reservations.schedule_store_send(8, false, ms(0)));
+    assert!(!reservations.schedule_store_send(8, false, ms(399)));
+    assert!(reservations.schedule_store_send(8, false, ms(400)));
 }
--- a/crates/jb-policy/tests/route.rs
+++ b/crates/jb-policy/tests/route.rs
@@ -1,4 +1,4 @@
-//! Choice of an upstream.
+//! Choice of an upstream for a request.
 
 #![allow(clippy::expect_used)]
 
@@ -26,7 +26,7 @@
     View::compile(&tree, 1).services["s"].clone()
 }
 
-fn ask(customer: &str, event: usize) -> Query {
+fn query(customer: &str, event: usize) -> Query {
     let scope = Scope {
         customer,
         model: "m",
@@ -58,8 +58,8 @@
     }
 }
 
-fn choose(pool: &mut Pool, ask: &Query, now: Duration) -> Choice {
-    pool.choose(ask, now).expect("an upstream")
+fn choose(pool: &mut Pool, query: &Query, now: Duration) -> Choice {
+    pool.choose(query, now).expect("an upstream")
 }
 
 #[test]
@@ -81,23 +81,23 @@
 }
 
 #[test]
-fn boxes_that_know_nothing_agree() {
+fn boxes_without_knowledge_choose_the_same_upstream() {
     let service = service(9, "");
-    let first = choose(&mut Pool::new(&service, "h"), &ask("ann", 1), at(0));
-    let second = choose(&mut Pool::new(&service, "h"), &ask("ann", 1), at(0));
+    let first = choose(&mut Pool::new(&service, "h"), &query("ann", 1), at(0));
+    let second = choose(&mut Pool::new(&service, "h"), &query("ann", 1), at(0));
     assert_eq!(first.upstream, second.upstream);
 }
 
 #[test]
-fn a_known_prefix_is_used_until_waiting_costs_more() {
+fn cached_prefix_is_used_until_queueing_costs_more() {
     let mut pool = Pool::new(
         &service(4, "prefill_us_per_token = 100.0\ncache_weight = 0.0"),
         "h",
     );
-    let home = choose(&mut pool, &ask("ann", 1), at(0)).upstream;
+    let home = choose(&mut pool, &query("ann", 1), at(0)).upstream;
     let start = start(1, 0);
-    pool.record_start(&home, &ask("ann", 1).chain, &start, at(300));
-    assert_eq!(choose(&mut pool, &ask("ann", 1), at(310)).upstream, home);
+    pool.record_start(&home, &query("ann", 1).chain, &start, at(300));
+    assert_eq!(choose(&mut pool, &query("ann", 1), at(310)).upstream, home);
     let busy = Start {
         load: Load {
             waiting_ms: [0, 2000, 0],
@@ -105,18 +105,18 @@
         },
         ..start
     };
-    pool.record_start(&home, &ask("ann", 1).chain, &busy, at(320));
-    assert_ne!(choose(&mut pool, &ask("ann", 1), at(330)).upstream, home);
+    pool.record_start(&home, &query("ann", 1).chain, &busy, at(320));
+    assert_ne!(choose(&mut pool, &query("ann", 1), at(330)).upstream, home);
 }
 
 #[test]
-fn a_new_incarnation_voids_what_was_known() {
+fn new_incarnation_clears_the_known_prefixes() {
     let mut pool = Pool::new(&service(4, ""), "h");
-    let ask = ask("ann", 1);
-    let home = choose(&mut pool, &ask, at(0)).upstream;
-    pool.record_start(&home, &ask.chain, &start(1, 0), at(100));
+    let query = query("ann", 1);
+    let home = choose(&mut pool, &query, at(0)).upstream;
+    pool.record_start(&home, &query.chain, &start(1, 0), at(100));
     let cached = |pool: &Pool| {
-        let all = pool.explain(&ask, at(200));
+        let all = pool.explain(&query, at(200));
         all.candidates
             .iter()
             .filter(|c| !c.presumed)
@@ -138,30 +138,30 @@
 }
 
 #[test]
-fn an_upstream_that_leaves_by_any_signal_gets_nothing() {
+fn upstream_that_drains_by_any_signal_gets_no_requests() {
     for signal in 0..3 {
         let mut pool = Pool::new(&service(2, ""), "h");
-        let home = choose(&mut pool, &ask("ann", 1), at(0)).upstream;
-        let leaving = &mut pool.upstream_mut(&home).expect("it is there").leaving;
+        let home = choose(&mut pool, &query("ann", 1), at(0)).upstream;
+        let leaving = &mut pool.upstream_mut(&home).expect("a known upstream").leaving;
         match signal {
             0 => leaving.by_tree = true,
             1 => leaving.by_list = true,
             _ => leaving.by_itself = true,
         }
-        assert_ne!(choose(&mut pool, &ask("ann", 1), at(10)).upstream, home);
+        assert_ne!(choose(&mut pool, &query("ann", 1), at(10)).upstream, home);
     }
 }
 
 #[test]
-fn failing_upstreams_are_left_out_and_return_one_request_at_a_time() {
+fn failing_upstream_is_ejected_and_returns_with_one_request_at_a_time() {
     let mut pool = Pool::new(&service(2, ""), "h");
-    let home = choose(&mut pool, &ask("ann", 1), at(0)).upstream;
+    let home = choose(&mut pool, &query("ann", 1), at(0)).upstream;
     pool.record_failure(&home, at(1));
-    choose(&mut pool, &ask("ann", 1), at(2));
+    choose(&mut pool, &query("ann", 1), at(2));
     assert_eq!(pool.record_failure(&home, at(3)), Change::Ejected);
-    assert_ne!(choose(&mut pool, &ask("ann", 1), at(10)).upstream, home);
+    assert_ne!(choose(&mut pool, &query("ann", 1), at(10)).upstream, home);
     let later = at(600);
-    let upstream = pool.upstream_mut(&home).expect("it is there");
+    let upstream = pool.upstream_mut(&home).expect("a known upstream");
     assert!(upstream.is_usable(later));
     upstream.health.note_sent();
     assert!(!upstream.is_usable(later));
@@ -169,40 +169,40 @@
 }
 
 #[test]
-fn with_all_left_out_one_is_tried_all_the_same() {
+fn upstream_is_tried_if_all_are_ejected() {
     let mut pool = Pool::new(&service(1, ""), "h");
     for _ in 0..3 {
-        let chosen = choose(&mut pool, &ask("ann", 1), at(0)).upstream;
+        let chosen = choose(&mut pool, &query("ann", 1), at(0)).upstream;
         pool.record_failure(&chosen, at(0));
     }
 }
 
 #[test]
-fn a_deadline_that_cannot_be_met_is_refused_at_once_with_a_time() {
+fn unreachable_deadline_is_rejected_at_once_with_a_retry_time() {
     let mut pool = Pool::new(&service(1, "prefill_us_per_token = 1000.0"), "h");
     let hurried = Query {
         deadline: at(100),
-        ..ask("ann", 1)
+        ..query("ann", 1)
     };
-    let refused = pool.choose(&hurried, at(0)).expect_err("too slow");
-    assert_eq!(refused.kind, Kind::DeadlineUnreachable);
-    assert!(refused.retry_after > Duration::ZERO);
+    let rejection = pool.choose(&hurried, at(0)).expect_err("too slow");
+    assert_eq!(rejection.kind, Kind::DeadlineUnreachable);
+    assert!(rejection.retry_after > Duration::ZERO);
 }
 
 #[test]
-fn urgent_requests_do_not_wait_for_others() {
+fn urgent_requests_are_not_queued_behind_others() {
     let mut pool = Pool::new(&service(1, "prefill_us_per_token = 1000.0"), "h");
     for event in 0..3 {
-        choose(&mut pool, &ask("ann", event), at(0));
+        choose(&mut pool, &query("ann", event), at(0));
     }
     let upstream = &pool.upstreams()[0];
     assert_eq!(upstream.backlog.wait(Priority::Urgent, at(0)), Duration::ZERO);
     assert!(upstream.backlog.wait(Priority::Normal, at(0)) > Duration::from_secs(1));
 }
 
-/// A dying engine causes no retry storm, and calm requests bring retries for the next one.
+/// Guards against retry storms when an engine fails; requests without failures earn retries for the next failure.
 #[test]
-fn retries_are_a_share_of_the_requests_and_a_few_besides() {
+fn retries_are_a_share_of_the_requests_plus_a_fixed_number() {
     let mut pool = Pool::new(&service(4, ""), "h");
     let spent = |pool: &mut Pool, now| (0..1000).take_while(|_| pool.try_spend_retry(2, now)).count();
     assert_eq!(spent(&mut pool, at(0)), 20);
