--- a/crates/jb-policy/src/placement.rs
+++ b/crates/jb-policy/src/placement.rs
@@ -25,7 +25,7 @@
     pub recompute_per_1k: f64,
     /// Cost of weights older than the newest release.
     pub stale_weights: f64,
-    /// Cost of each running request.
+    /// Cost of each running request, which delays the tokens of all others.
     pub per_running_request: f64,
     /// Cost of full utilization of the slots of an upstream of a plain service.
     pub slot_utilization: f64,
--- a/crates/jb-policy/src/route/mod.rs
+++ b/crates/jb-policy/src/route/mod.rs
@@ -35,7 +35,7 @@
     /// Tokens of the prompt expected to be cached there.
     pub cached_tokens: u32,
     /// Estimated time to first token.
-    pub expected: Duration,
+    pub estimated_ttft: Duration,
     /// Permit to send the request.
     pub permit: Permit,
 }
--- a/crates/jb-policy/src/route/pool.rs
+++ b/crates/jb-policy/src/route/pool.rs
@@ -149,15 +149,15 @@
         let choice = Choice {
             upstream: self.upstreams[best.index].id.clone(),
             incarnation: self.upstreams[best.index].incarnation(),
-            cached_tokens: best.cached,
-            expected: best.expected,
+            cached_tokens: best.cached_tokens,
+            estimated_ttft: best.estimated_ttft,
             permit: Permit {
                 issued_at: now,
                 is_limited: self.upstreams[best.index].is_limited(),
             },
         };
         self.take_permit(best.index, now)?;
-        let missing = query.chain.tokens - best.cached;
+        let missing = query.chain.tokens - best.cached_tokens;
         let cost = self.prefill(missing);
         let upstream = &mut self.upstreams[best.index];
         upstream.backlog.record_send(query.class, cost, now);
@@ -195,7 +195,7 @@
         let show = |w: Score| Candidate {
             upstream: self.upstreams[w.index].id.clone(),
             wait_ms: w.wait.as_secs_f64() * 1e3,
-            cached_tokens: w.cached,
+            cached_tokens: w.cached_tokens,
             presumed: w.presumed,
             cost_ms: w.cost * 1e3,
         };
@@ -292,10 +292,10 @@
                 retry_after: best.wait - self.service.max_wait,
             });
         }
-        if best.expected > query.deadline {
+        if best.estimated_ttft > query.deadline {
             return Err(Rejection {
                 kind: Kind::DeadlineUnreachable,
-                retry_after: best.expected - query.deadline,
+                retry_after: best.estimated_ttft - query.deadline,
             });
         }
         Ok(())
--- a/crates/jb-policy/src/route/pool/score.rs
+++ b/crates/jb-policy/src/route/pool/score.rs
@@ -29,9 +29,9 @@
 pub(super) struct Score {
     pub(super) index: usize,
     pub(super) wait: Duration,
-    pub(super) cached: u32,
+    pub(super) cached_tokens: u32,
     pub(super) presumed: bool,
-    pub(super) expected: Duration,
+    pub(super) estimated_ttft: Duration,
     pub(super) cost: f64,
 }
 
@@ -127,20 +127,20 @@
             .find(|k| k.engine as usize == index)
             .map_or(0, |k| k.tokens);
         let presumed = owner == Some(index);
-        let cached = if presumed { query.chain.root.tokens } else { held };
-        let cached = cached.min(query.chain.tokens);
-        let prefill = self.prefill(query.chain.tokens - cached);
-        let expected = wait + prefill;
+        let cached_tokens = if presumed { query.chain.root.tokens } else { held };
+        let cached_tokens = cached_tokens.min(query.chain.tokens);
+        let prefill = self.prefill(query.chain.tokens - cached_tokens);
+        let estimated_ttft = wait + prefill;
         // Filling a cache with high churn evicts prefixes that will be needed again.
         let churn = upstream.pressure.tokens(now) / f64::from(self.service.cache_tokens.max(1));
         let churn = churn.clamp(MIN_CHURN, MAX_CHURN);
         Score {
             index,
             wait,
-            cached,
+            cached_tokens,
             presumed,
-            expected,
-            cost: expected.as_secs_f64() + self.service.cache_weight * churn * prefill.as_secs_f64(),
+            estimated_ttft,
+            cost: estimated_ttft.as_secs_f64() + self.service.cache_weight * churn * prefill.as_secs_f64(),
         }
     }
 
