--- a/crates/jb-daemon/src/run/attempt.rs
+++ b/crates/jb-daemon/src/run/attempt.rs
@@ -6,7 +6,7 @@
 use futures_util::StreamExt as _;
 use jb_policy::call::Denial;
 use jb_policy::route::Ask;
-use jb_policy::stream::{Reader, Step};
+use jb_policy::stream::{Event, Reader};
 use jb_protocol::error::{Kind, Outcome as Ran};
 use jb_protocol::problem::Document;
 use jb_protocol::{event, id};
@@ -142,8 +142,8 @@
             Some(frame) => frame?,
             None => return Err(Failure::Lost("the answer stopped without an end".to_owned()).into()),
         };
-        match self.reader.take(frame) {
-            Step::Started(start) => {
+        match self.reader.accept(frame) {
+            Event::Started(start) => {
                 self.cached_tokens = start.cached_tokens;
                 context.metrics.start(start.prompt_tokens, start.cached_tokens);
                 let started = Started {
@@ -157,20 +157,20 @@
                 }
                 Ok(Part::Progress)
             }
-            Step::Token(text) => Ok(Part::Token(text)),
-            Step::Ended(finish_reason) => Ok(Part::Ended(Ending {
+            Event::Token(text) => Ok(Part::Token(text)),
+            Event::Ended(finish_reason) => Ok(Part::Ended(Ending {
                 prompt_tokens: self.ask.chain.tokens,
                 cached_tokens: self.cached_tokens,
                 completion_tokens: self.reader.next_index(),
                 engine: self.upstream.clone(),
                 finish_reason,
             })),
-            Step::Dropped => {
+            Event::Dropped => {
                 context.metrics.dropped_frames.inc();
                 emit!(context.logger, warn, event::FRAME_DROPPED, "upstream" => &self.upstream);
                 Ok(Part::Progress)
             }
-            Step::Broken(fault) => {
+            Event::Invalid(fault) => {
                 emit!(context.logger, warn, event::UPSTREAM_PROTOCOL,
                     "upstream" => &self.upstream, "why" => fault.to_string());
                 Err(Failure::Protocol(fault.to_string()).into())
--- a/crates/jb-policy/src/stream.rs
+++ b/crates/jb-policy/src/stream.rs
@@ -8,7 +8,7 @@
 
 /// What one frame means.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum Event {
     /// The prompt was processed.
     Started(Start),
     /// The next token, to be delivered.
@@ -18,7 +18,7 @@
     /// A frame of another attempt, or one that was delivered before.
     Dropped,
     /// The frame breaks the protocol; the attempt has failed.
-    Broken(Fault),
+    Invalid(Violation),
 }
 
 /// The facts of a started answer.
@@ -36,7 +36,7 @@
 
 /// How a frame broke the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum Violation {
     /// A token or end came before the start.
     #[error("a frame came before the start")]
     NotStarted,
@@ -64,7 +64,7 @@
     },
     /// A count that cannot be.
     #[error("more tokens are cached than the prompt has")]
-    Nonsense,
+    CachedExceedsPrompt,
 }
 
 /// Reader of one attempt's frames.
@@ -93,9 +93,9 @@
     }
 
     /// Takes one frame.
-    pub fn take(&mut self, frame: Frame) -> Step {
+    pub fn accept(&mut self, frame: Frame) -> Event {
         if frame.attempt() != self.attempt {
-            return Step::Dropped;
+            return Event::Dropped;
         }
         match frame {
             Frame::Start {
@@ -121,47 +121,47 @@
         }
     }
 
-    fn start(&mut self, weights: &str, start: Start) -> Step {
+    fn start(&mut self, weights: &str, start: Start) -> Event {
         if self.started {
-            return Step::Broken(Fault::StartedTwice);
+            return Event::Invalid(Violation::StartedTwice);
         }
         if weights != self.weights {
-            return Step::Broken(Fault::WrongWeights);
+            return Event::Invalid(Violation::WrongWeights);
         }
         if start.cached_tokens > start.prompt_tokens {
-            return Step::Broken(Fault::Nonsense);
+            return Event::Invalid(Violation::CachedExceedsPrompt);
         }
         self.started = true;
-        Step::Started(start)
+        Event::Started(start)
     }
 
-    fn token(&mut self, index: u32, text: String) -> Step {
+    fn token(&mut self, index: u32, text: String) -> Event {
         if !self.started {
-            return Step::Broken(Fault::NotStarted);
+            return Event::Invalid(Violation::NotStarted);
         }
         if index < self.next {
-            return Step::Dropped;
+            return Event::Dropped;
         }
         if index > self.next {
-            return Step::Broken(Fault::Gap {
+            return Event::Invalid(Violation::Gap {
                 expected: self.next,
                 got: index,
             });
         }
         self.next += 1;
-        Step::Token(text)
+        Event::Token(text)
     }
 
-    fn end(&mut self, counted: u32, finish_reason: String) -> Step {
+    fn end(&mut self, counted: u32, finish_reason: String) -> Event {
         if !self.started {
-            return Step::Broken(Fault::NotStarted);
+            return Event::Invalid(Violation::NotStarted);
         }
         if counted != self.next {
-            return Step::Broken(Fault::WrongCount {
+            return Event::Invalid(Violation::WrongCount {
                 counted,
                 delivered: self.next,
             });
         }
-        Step::Ended(finish_reason)
+        Event::Ended(finish_reason)
     }
 }
--- a/crates/jb-policy/tests/stream.rs
+++ b/crates/jb-policy/tests/stream.rs
@@ -1,7 +1,7 @@
 //! Streams: whatever an engine sends, the caller gets its tokens in order
 //! and without a gap, or the attempt has failed.
 
-use jb_policy::stream::{Reader, Step};
+use jb_policy::stream::{Event, Reader};
 use jb_protocol::engine::{Frame, Load};
 use quickcheck::{Arbitrary as _, Gen};
 
@@ -51,13 +51,13 @@
         let mut source = Gen::from_size_and_seed(200, seed);
         let noise = Vec::<(u8, u8)>::arbitrary(&mut source);
         let mut reader = Reader::new("own".to_owned(), "w1".to_owned(), 0);
-        assert!(matches!(reader.take(start("own")), Step::Started(_)));
+        assert!(matches!(reader.accept(start("own")), Event::Started(_)));
         let mut delivered = Vec::new();
         for (kind, number) in noise {
-            match reader.take(any_frame(kind, number)) {
-                Step::Token(text) => delivered.push(text),
-                Step::Ended(_) | Step::Broken(_) => break,
-                Step::Started(_) | Step::Dropped => {}
+            match reader.accept(any_frame(kind, number)) {
+                Event::Token(text) => delivered.push(text),
+                Event::Ended(_) | Event::Invalid(_) => break,
+                Event::Started(_) | Event::Dropped => {}
             }
         }
         let expected: Vec<String> = (0..delivered.len()).map(|n| n.to_string()).collect();
@@ -68,21 +68,21 @@
 #[test]
 fn an_end_with_a_wrong_count_is_no_end() {
     let mut reader = Reader::new("own".to_owned(), "w1".to_owned(), 0);
-    reader.take(start("own"));
-    reader.take(token("own", 0));
-    assert!(matches!(reader.take(end("own", 2)), Step::Broken(_)));
+    reader.accept(start("own"));
+    reader.accept(token("own", 0));
+    assert!(matches!(reader.accept(end("own", 2)), Event::Invalid(_)));
 }
 
 #[test]
 fn a_resumed_stream_drops_what_was_delivered() {
     let mut reader = Reader::new("own".to_owned(), "w1".to_owned(), 3);
-    reader.take(start("own"));
-    assert_eq!(reader.take(token("own", 2)), Step::Dropped);
-    assert_eq!(reader.take(token("own", 3)), Step::Token("3".to_owned()));
+    reader.accept(start("own"));
+    assert_eq!(reader.accept(token("own", 2)), Event::Dropped);
+    assert_eq!(reader.accept(token("own", 3)), Event::Token("3".to_owned()));
 }
 
 #[test]
 fn other_weights_than_asked_for_break_the_answer() {
     let mut reader = Reader::new("own".to_owned(), "w2".to_owned(), 0);
-    assert!(matches!(reader.take(start("own")), Step::Broken(_)));
+    assert!(matches!(reader.accept(start("own")), Event::Invalid(_)));
 }
