--- a/crates/jb-daemon/src/run/plain.rs
+++ b/crates/jb-daemon/src/run/plain.rs
@@ -52,7 +52,7 @@
     fn give_up(&self, kind: Kind, detail: &str) -> Refusal {
         match self {
             Self::Unsent(call) => call.refuse(kind, detail),
-            Self::Sent(call) => call.lose(kind, detail),
+            Self::Sent(call) => call.fail(kind, detail),
         }
     }
 
@@ -60,8 +60,8 @@
     fn after(sent: Call<Sent>, failure: Failure) -> Result<Self, Refusal> {
         let (kind, detail) = match failure {
             Failure::Denied(denial) | Failure::Unreachable(denial) => match sent.deny(&denial) {
-                Denied::Clean(call) => return Ok(Self::Unsent(call)),
-                Denied::Tainted(call) => {
+                Denied::NotRun(call) => return Ok(Self::Unsent(call)),
+                Denied::MayHaveRun(call) => {
                     return Ok(Self::Sent(call.resend(Kind::UpstreamLost, denial.reason())?));
                 }
             },
@@ -102,7 +102,7 @@
             Err(full) => return Err(standing.give_up(Kind::Busy, &full.to_string())),
             Ok(Err(none)) => {
                 let refusal = standing.give_up(none.kind, "no upstream is left to try");
-                return Err(refusal.with_after(none.after));
+                return Err(refusal.with_retry_after(none.after));
             }
             Ok(Ok(chosen)) => chosen,
         };
--- a/crates/jb-daemon/src/run/session/mod.rs
+++ b/crates/jb-daemon/src/run/session/mod.rs
@@ -262,8 +262,8 @@
         let phase = std::mem::replace(&mut self.phase, Phase::Over);
         self.phase = match phase {
             Phase::Sent(call) => match call.deny(denial) {
-                Denied::Clean(call) => Phase::Unsent(call),
-                Denied::Tainted(call) => Phase::Sent(call.resend(kind, denial.reason())?),
+                Denied::NotRun(call) => Phase::Unsent(call),
+                Denied::MayHaveRun(call) => Phase::Sent(call.resend(kind, denial.reason())?),
             },
             Phase::Streaming(call) => Phase::Streaming(call.resume(denial.reason())?),
             other => other,
@@ -305,12 +305,12 @@
     fn give_up(&mut self, kind: Kind, detail: &str, after: Option<Duration>) -> Refusal {
         let refusal = match std::mem::replace(&mut self.phase, Phase::Over) {
             Phase::Unsent(call) => call.refuse(kind, detail),
-            Phase::Sent(call) => call.lose(kind, detail),
-            Phase::Streaming(call) => call.cut(Kind::StreamBroken, detail),
-            Phase::Over => Call::new(self.request.id.clone(), true).send().lose(kind, detail),
+            Phase::Sent(call) => call.fail(kind, detail),
+            Phase::Streaming(call) => call.abort(Kind::StreamBroken, detail),
+            Phase::Over => Call::new(self.request.id.clone(), true).send().fail(kind, detail),
         };
         match after {
-            Some(after) => refusal.with_after(after),
+            Some(after) => refusal.with_retry_after(after),
             None => refusal,
         }
     }
--- a/crates/jb-daemon/src/serve/completions.rs
+++ b/crates/jb-daemon/src/serve/completions.rs
@@ -177,7 +177,7 @@
         Err(full) => Err(call.refuse(Kind::Busy, full.to_string())),
         Ok(Err(over)) => Err(call
             .refuse(over.kind, "over the customer's limit")
-            .with_after(over.after)),
+            .with_retry_after(over.after)),
         Ok(Ok(admitted)) => Ok(admitted),
     }
 }
@@ -203,7 +203,7 @@
     match context.claims.claim(wish).await {
         Ok(Decision::Granted) => Ok(()),
         // Whoever holds the claim may have run the request.
-        Ok(Decision::Duplicate) => Err(call.refuse_claimed("a request with this key came before")),
+        Ok(Decision::Duplicate) => Err(call.refuse_duplicate("a request with this key came before")),
         Ok(Decision::Full) => Err(call.refuse(Kind::ClaimUnavailable, "too many claims are remembered")),
         Err(error) => Err(call.refuse(Kind::ClaimUnavailable, error.to_string())),
     }
--- a/crates/jb-daemon/src/serve/refusal.rs
+++ b/crates/jb-daemon/src/serve/refusal.rs
@@ -16,7 +16,7 @@
         Retry::Seconds(seconds) => Some(seconds),
         Retry::Drain => Some(
             refusal
-                .after()
+                .retry_after()
                 .map_or(1, |after| after.as_secs_f64().ceil().max(1.0) as u64),
         ),
     };
--- a/crates/jb-policy/src/call.rs
+++ b/crates/jb-policy/src/call.rs
@@ -37,7 +37,7 @@
     kind: Kind,
     outcome: Outcome,
     detail: String,
-    after: Option<Duration>,
+    retry_after: Option<Duration>,
 }
 
 impl Refusal {
@@ -57,8 +57,8 @@
     }
 
     /// When to come back.
-    pub fn after(&self) -> Option<Duration> {
-        self.after
+    pub fn retry_after(&self) -> Option<Duration> {
+        self.retry_after
     }
 
     fn new(kind: Kind, outcome: Outcome, detail: impl Into<String>) -> Self {
@@ -66,14 +66,14 @@
             kind,
             outcome,
             detail: detail.into(),
-            after: None,
+            retry_after: None,
         }
     }
 
     /// Adds when to come back.
     #[must_use]
-    pub fn with_after(mut self, after: Duration) -> Self {
-        self.after = Some(after);
+    pub fn with_retry_after(mut self, after: Duration) -> Self {
+        self.retry_after = Some(after);
         self
     }
 }
@@ -103,9 +103,9 @@
 #[derive(Debug)]
 pub enum Denied {
     /// No attempt can have run: it stands as if never sent.
-    Clean(Call<Unsent>),
+    NotRun(Call<Unsent>),
     /// An earlier attempt may have run.
-    Tainted(Call<Sent>),
+    MayHaveRun(Call<Sent>),
 }
 
 impl<S> Call<S> {
@@ -155,7 +155,7 @@
 
     /// Gives the request up because another request with its key came before.
     /// That one may have run, and to the caller the two are one.
-    pub fn refuse_claimed(&self, detail: impl Into<String>) -> Refusal {
+    pub fn refuse_duplicate(&self, detail: impl Into<String>) -> Refusal {
         Refusal::new(Kind::AlreadyClaimed, Outcome::MayHaveRun, detail)
     }
 
@@ -169,9 +169,9 @@
     /// Takes an upstream's explicit word that it did not run this attempt.
     pub fn deny(self, _denial: &Denial) -> Denied {
         if self.state.earlier_may_have_run {
-            Denied::Tainted(self)
+            Denied::MayHaveRun(self)
         } else {
-            Denied::Clean(self.into_state(Unsent(())))
+            Denied::NotRun(self.into_state(Unsent(())))
         }
     }
 
@@ -181,7 +181,7 @@
     /// The final refusal, for a request that runs at most once.
     pub fn resend(mut self, failed: Kind, detail: &str) -> Result<Self, Refusal> {
         if self.once {
-            return Err(self.lose(failed, detail));
+            return Err(self.fail(failed, detail));
         }
         self.attempts += 1;
         self.state.earlier_may_have_run = true;
@@ -194,7 +194,7 @@
     }
 
     /// Gives the request up. The answer says that it may have run.
-    pub fn lose(&self, kind: Kind, detail: impl Into<String>) -> Refusal {
+    pub fn fail(&self, kind: Kind, detail: impl Into<String>) -> Refusal {
         Refusal::new(kind, Outcome::MayHaveRun, detail)
     }
 }
@@ -206,14 +206,14 @@
     /// The final refusal, for a request that runs at most once.
     pub fn resume(mut self, detail: &str) -> Result<Self, Refusal> {
         if self.once {
-            return Err(self.cut(Kind::StreamBroken, detail));
+            return Err(self.abort(Kind::StreamBroken, detail));
         }
         self.attempts += 1;
         Ok(self)
     }
 
     /// Gives the request up. The answer says that it ran partly.
-    pub fn cut(&self, kind: Kind, detail: impl Into<String>) -> Refusal {
+    pub fn abort(&self, kind: Kind, detail: impl Into<String>) -> Refusal {
         Refusal::new(kind, Outcome::RanPartly, detail)
     }
 }
--- a/crates/jb-policy/tests/call.rs
+++ b/crates/jb-policy/tests/call.rs
@@ -22,8 +22,8 @@
 #[test]
 fn a_denied_only_attempt_is_as_if_never_sent() {
     match call(true).send().deny(&denial()) {
-        Denied::Clean(call) => assert_eq!(call.refuse(Kind::NoUpstream, "").outcome(), Outcome::NotRun),
-        Denied::Tainted(_) => panic!("nothing has run"),
+        Denied::NotRun(call) => assert_eq!(call.refuse(Kind::NoUpstream, "").outcome(), Outcome::NotRun),
+        Denied::MayHaveRun(_) => panic!("nothing has run"),
     }
 }
 
@@ -34,8 +34,10 @@
         .resend(Kind::UpstreamLost, "lost")
         .expect("it may be repeated");
     match again.deny(&denial()) {
-        Denied::Clean(_) => panic!("the first attempt may have run"),
-        Denied::Tainted(call) => assert_eq!(call.lose(Kind::NoUpstream, "").outcome(), Outcome::MayHaveRun),
+        Denied::NotRun(_) => panic!("the first attempt may have run"),
+        Denied::MayHaveRun(call) => {
+            assert_eq!(call.fail(Kind::NoUpstream, "").outcome(), Outcome::MayHaveRun)
+        }
     }
 }
 
