--- a/crates/jb-daemon/src/admin/status.rs
+++ b/crates/jb-daemon/src/admin/status.rs
@@ -15,7 +15,7 @@
         id: member.id,
         hall: member.hall,
         revision: member.revision,
-        leaving: member.leaving,
+        leaving: member.stopping,
         admin_address: member.admin_address,
     }
 }
--- a/crates/jb-daemon/src/leader.rs
+++ b/crates/jb-daemon/src/leader.rs
@@ -76,7 +76,7 @@
     let hall = &context.settings.hall;
     let own = leader::preference(hall, &context.settings.id);
     let others = context.directory.alive();
-    let mut rivals = others.iter().filter(|m| m.hall == *hall && !m.leaving);
+    let mut rivals = others.iter().filter(|m| m.hall == *hall && !m.stopping);
     rivals.all(|m| leader::preference(hall, &m.id) < own)
 }
 
--- a/crates/jb-daemon/src/members.rs
+++ b/crates/jb-daemon/src/members.rs
@@ -61,7 +61,7 @@
 
     /// The box itself as others see it.
     pub fn me(&self) -> Member {
-        self.lock().members.me().clone()
+        self.lock().members.local().clone()
     }
 
     /// Other boxes taken for alive.
@@ -76,13 +76,13 @@
 
     /// Notes that a box did not answer.
     pub fn failed(&self, id: &str) -> Change {
-        self.lock().members.failed(id)
+        self.lock().members.note_failure(id)
     }
 
     /// Other halls that have a live box, with what is known of a service there.
     pub fn other_halls(&self, own: &str, service: &str) -> Vec<Summary> {
         let state = self.lock();
-        let alive = state.members.alive().filter(|m| !m.leaving && m.hall != own);
+        let alive = state.members.alive().filter(|m| !m.stopping && m.hall != own);
         let mut halls: Vec<id::Hall> = alive.map(|m| m.hall.clone()).collect();
         halls.sort();
         halls.dedup();
@@ -106,9 +106,9 @@
     /// that decides for a service's cell first.
     pub fn boxes_for(&self, hall: &str, service: &str, cell: Cell) -> Vec<Member> {
         let state = self.lock();
-        let me = state.members.me();
+        let me = state.members.local();
         let mut boxes: Vec<Member> = state.members.alive().chain([me]).cloned().collect();
-        boxes.retain(|m| m.hall == hall && !m.leaving);
+        boxes.retain(|m| m.hall == hall && !m.stopping);
         boxes.sort_by_key(|m| std::cmp::Reverse(cell::preference(service, cell, &m.id)));
         boxes
     }
@@ -143,11 +143,11 @@
     }
 
     fn beat(&self, revision: id::Revision, leaving: bool) {
-        self.lock().members.beat(revision, leaving);
+        self.lock().members.advance_heartbeat(revision, leaving);
     }
 
     fn tick(&self, context: &Context) -> Vec<Member> {
-        self.lock().members.tick(context.clock.now())
+        self.lock().members.next_probes(context.clock.now())
     }
 }
 
@@ -173,7 +173,7 @@
         hall: member.hall,
         peer_address: member.peer_address,
         heartbeat: member.heartbeat,
-        leaving: member.leaving,
+        leaving: member.stopping,
         revision: member.revision,
         admin_address: member.admin_address,
     }
@@ -186,7 +186,7 @@
         peer_address: member.peer_address,
         admin_address: member.admin_address,
         heartbeat: member.heartbeat,
-        leaving: member.leaving,
+        stopping: member.leaving,
         revision: member.revision,
     }
 }
@@ -354,7 +354,7 @@
         id: entry.id,
         hall: entry.hall,
         peer_address: entry.address,
-        leaving: entry.state == State::Leaving,
+        stopping: entry.state == State::Leaving,
         ..Member::default()
     }
 }
--- a/crates/jb-daemon/src/start.rs
+++ b/crates/jb-daemon/src/start.rs
@@ -126,7 +126,7 @@
         admin_address: listeners.operators.local_addr().into_diagnostic()?.to_string(),
         // The heartbeat of a restarted box must be newer than that of its earlier process.
         heartbeat: clock::wall_s(),
-        leaving: false,
+        stopping: false,
         revision: 0,
     };
     Ok(Arc::new(Context {
--- a/crates/jb-policy/src/member.rs
+++ b/crates/jb-policy/src/member.rs
@@ -35,7 +35,7 @@
     /// Heartbeat; the box raises it, and a restart raises it far.
     pub heartbeat: u64,
     /// Whether it is stopping.
-    pub leaving: bool,
+    pub stopping: bool,
     /// Revision of the tree that it has in force.
     pub revision: id::Revision,
 }
@@ -50,7 +50,7 @@
 /// The boxes as one box sees them.
 #[derive(Clone, Debug)]
 pub struct Members {
-    me: Member,
+    local: Member,
     others: BTreeMap<id::Box, Seen>,
     turn: usize,
 }
@@ -68,29 +68,29 @@
 
 impl Members {
     /// A view that knows only the box itself.
-    pub fn new(me: Member) -> Self {
+    pub fn new(local: Member) -> Self {
         Self {
-            me,
+            local,
             others: BTreeMap::new(),
             turn: 0,
         }
     }
 
     /// The box itself as others see it.
-    pub fn me(&self) -> &Member {
-        &self.me
+    pub fn local(&self) -> &Member {
+        &self.local
     }
 
     /// Raises the own heartbeat and sets the state that is sent with it.
-    pub fn beat(&mut self, revision: id::Revision, leaving: bool) {
-        self.me.heartbeat += 1;
-        self.me.revision = revision;
-        self.me.leaving = leaving;
+    pub fn advance_heartbeat(&mut self, revision: id::Revision, stopping: bool) {
+        self.local.heartbeat += 1;
+        self.local.revision = revision;
+        self.local.stopping = stopping;
     }
 
     /// Merges the state of a box. Only a newer heartbeat counts.
     pub fn merge(&mut self, member: Member, now: Moment) -> Change {
-        if member.id == self.me.id || member.id.is_empty() {
+        if member.id == self.local.id || member.id.is_empty() {
             return Change::None;
         }
         match self.others.get_mut(&member.id) {
@@ -115,7 +115,7 @@
     }
 
     /// Notes that a box did not answer.
-    pub fn failed(&mut self, id: &str) -> Change {
+    pub fn note_failure(&mut self, id: &str) -> Change {
         let Some(seen) = self.others.get_mut(id) else {
             return Change::None;
         };
@@ -128,7 +128,7 @@
     }
 
     /// Boxes to probe at this tick; dead ones too, so that they are found again.
-    pub fn tick(&mut self, now: Moment) -> Vec<Member> {
+    pub fn next_probes(&mut self, now: Moment) -> Vec<Member> {
         self.others
             .retain(|_, s| s.failures < FAILURES || now.saturating_sub(s.last_seen) < FORGET);
         self.next(PROBES_PER_TICK, |_| true)
@@ -149,8 +149,8 @@
 
     /// Boxes alive and not stopping in a hall, the box itself counted.
     pub fn serving_in(&self, hall: &str) -> u32 {
-        let others = self.alive().filter(|m| m.hall == hall && !m.leaving).count();
-        let me = usize::from(self.me.hall == hall && !self.me.leaving);
+        let others = self.alive().filter(|m| m.hall == hall && !m.stopping).count();
+        let me = usize::from(self.local.hall == hall && !self.local.stopping);
         u32::try_from(others + me).unwrap_or(u32::MAX)
     }
 
--- a/crates/jb-policy/tests/spread.rs
+++ b/crates/jb-policy/tests/spread.rs
@@ -110,8 +110,8 @@
 fn a_dead_box_comes_back_only_with_a_newer_heartbeat() {
     let mut members = Members::new(member("me", 1));
     assert_eq!(members.merge(member("other", 5), Duration::ZERO), Change::Found);
-    members.failed("other");
-    assert_eq!(members.failed("other"), Change::Lost);
+    members.note_failure("other");
+    assert_eq!(members.note_failure("other"), Change::Lost);
     assert_eq!(members.merge(member("other", 5), Duration::ZERO), Change::None);
     assert_eq!(members.alive().count(), 0);
     assert_eq!(members.merge(member("other", 6), Duration::ZERO), Change::Found);
