--- a/crates/jb-daemon/src/decide/worker.rs
+++ b/crates/jb-daemon/src/decide/worker.rs
@@ -197,7 +197,7 @@
         let Some(pool) = self.pools.get_mut(service) else {
             return;
         };
-        let was_leaving = pool.upstream_mut(upstream).is_some_and(|u| u.leaving.by_itself);
+        let was_leaving = pool.upstream_mut(upstream).is_some_and(|u| u.drain.by_report);
         let new = pool.reported(upstream, report, now);
         if report.leaving && !was_leaving {
             emit!(self.logger, info, event::UPSTREAM_DRAINING, "upstream" => upstream, "by" => "itself");
@@ -215,7 +215,7 @@
         else {
             return;
         };
-        if applied.drains {
+        if applied.started_draining {
             emit!(self.logger, info, event::UPSTREAM_DRAINING, "upstream" => upstream, "by" => "answer");
         }
         if let Some(until) = applied.backoff_until {
@@ -250,7 +250,7 @@
             let ids: Vec<id::Upstream> = pool.upstreams().iter().map(|u| u.id.clone()).collect();
             for id in ids {
                 if let Some(upstream) = pool.upstream_mut(&id) {
-                    upstream.leaving.by_list = leaving.contains(&id);
+                    upstream.drain.by_list = leaving.contains(&id);
                 }
             }
         }
@@ -260,14 +260,14 @@
     fn summarize(&self) -> Vec<ServiceSummary> {
         let now = self.clock.now();
         let summary = |(service, pool): (&id::Service, &Pool)| {
-            let usable = pool.upstreams().iter().filter(|u| u.is_usable(now)).count();
-            let leaving = pool.upstreams().iter().filter(|u| u.leaving.is_leaving());
+            let usable = pool.upstreams().iter().filter(|u| u.is_available(now)).count();
+            let leaving = pool.upstreams().iter().filter(|u| u.drain.is_draining());
             ServiceSummary {
                 service: service.clone(),
                 summary: Summary {
                     hall: self.hall.clone(),
                     // The own hall is worth a try even when all have failed.
-                    usable: pool.upstreams().iter().any(|u| u.is_willing(now)),
+                    usable: pool.upstreams().iter().any(|u| u.accepts_requests(now)),
                     wait_ms: u32::try_from(pool.least_wait(now).as_millis()).unwrap_or(u32::MAX),
                 },
                 usable: u32::try_from(usable).unwrap_or(u32::MAX),
--- a/crates/jb-policy/benches/decide.rs
+++ b/crates/jb-policy/benches/decide.rs
@@ -138,9 +138,9 @@
             bencher.iter(|| {
                 n += 1;
                 let now = Duration::from_secs(n / 1000);
-                members.beat(1, false);
+                members.advance_heartbeat(1, false);
                 members.merge(member(n as usize % count, n), now);
-                (members.tick(now), members.next_updates())
+                (members.next_probes(now), members.next_updates())
             });
         });
     }
--- a/crates/jb-policy/src/route/pool.rs
+++ b/crates/jb-policy/src/route/pool.rs
@@ -23,7 +23,7 @@
 use crate::share::{Bound, Budget};
 use crate::signal::Signals;
 use crate::stream::Start;
-use crate::upstream::{Applied, Upstream};
+use crate::upstream::{Changes, Upstream};
 
 /// Prefixes remembered for each block that an engine can hold, divided by 8.
 const MARKS_PER_ENGINE_BLOCK: usize = 4;
@@ -72,7 +72,7 @@
         for config in service.upstreams.iter().filter(|u| u.hall == hall) {
             let known = self.upstreams.iter().find(|u| u.id == config.id);
             let mut upstream = known.cloned().unwrap_or_else(|| Upstream::new(config.id.clone()));
-            upstream.leaving.by_tree = config.leaving;
+            upstream.drain.by_tree = config.leaving;
             next.push(upstream);
         }
         let after: Vec<id::Upstream> = next.iter().map(|u| u.id.clone()).collect();
@@ -103,7 +103,7 @@
 
     /// The least waiting time of any usable upstream.
     pub fn least_wait(&self, now: Moment) -> Duration {
-        let usable = self.upstreams.iter().filter(|u| u.is_usable(now));
+        let usable = self.upstreams.iter().filter(|u| u.is_available(now));
         usable
             .map(|u| u.backlog.wait(Priority::Normal, now))
             .min()
@@ -186,7 +186,7 @@
 
     /// Time until the first upstream is back, where all that take work back off or are limited.
     fn first_back(&self, now: Moment) -> Option<Duration> {
-        let back = self.upstreams.iter().filter_map(|u| u.back_at(now)).min()?;
+        let back = self.upstreams.iter().filter_map(|u| u.available_at(now)).min()?;
         back.checked_sub(now).filter(|time| !time.is_zero())
     }
 
@@ -239,7 +239,7 @@
         signals: Signals,
         sent: Moment,
         now: Moment,
-    ) -> Option<Applied> {
+    ) -> Option<Changes> {
         Some(self.upstream_mut(id)?.apply_signals(signals, sent, now))
     }
 
--- a/crates/jb-policy/src/route/pool/weigh.rs
+++ b/crates/jb-policy/src/route/pool/weigh.rs
@@ -42,7 +42,7 @@
     fn still_holds(&self, holder: &Holder) -> bool {
         let blocks = f64::from(self.service.cache_tokens / TOKENS_PER_BLOCK) * MAX_CACHE_REFILLS;
         let upstream = self.upstreams.get(holder.engine as usize);
-        upstream.is_some_and(|u| u.still_holds(holder, blocks as u32))
+        upstream.is_some_and(|u| u.is_current(holder, blocks as u32))
     }
 
     /// Weighs every upstream that the request may go to.
@@ -62,11 +62,11 @@
     /// Those of the upstreams that may get the request now.
     fn open_to(&self, ask: &Ask, mut indexes: Vec<usize>, now: Moment) -> Vec<usize> {
         // With every one left out after failures, trying one beats refusing.
-        let usable = |index: &usize| self.upstreams[*index].is_usable(now);
+        let usable = |index: &usize| self.upstreams[*index].is_available(now);
         if indexes.iter().any(usable) {
             indexes.retain(usable);
         } else {
-            indexes.retain(|index| self.upstreams[*index].is_willing(now));
+            indexes.retain(|index| self.upstreams[*index].accepts_requests(now));
         }
         // Each one is tried before any is tried again.
         let untried = |index: &usize| !ask.tried.contains(&self.upstreams[*index].id);
--- a/crates/jb-policy/src/upstream.rs
+++ b/crates/jb-policy/src/upstream.rs
@@ -17,17 +17,17 @@
 use crate::{Moment, rendezvous};
 
 /// Time for which an upstream that denied a request is left alone.
-const DENIAL: Duration = Duration::from_secs(1);
+const DENIAL_PAUSE: Duration = Duration::from_secs(1);
 
 /// Time for which an upstream without incarnations, as a plain service, counts as draining after its signal:
 /// its successor may have its name and address.
-const LEAVES_FOR: Duration = Duration::from_secs(600);
+const DRAIN_DURATION: Duration = Duration::from_secs(600);
 
 /// Changes by the signals of a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Applied {
+pub struct Changes {
     /// Whether it has begun to drain.
-    pub drains: bool,
+    pub started_draining: bool,
     /// End of a backoff, where that is later than before.
     pub backoff_until: Option<Moment>,
     /// Its rate limit, where that has changed.
@@ -36,19 +36,19 @@
 
 /// Why an upstream gets no new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Leaving {
+pub struct Drain {
     /// By the tree.
     pub by_tree: bool,
     /// By the platform's box list.
     pub by_list: bool,
     /// By the upstream's own report.
-    pub by_itself: bool,
+    pub by_report: bool,
 }
 
-impl Leaving {
+impl Drain {
     /// Any one of the three signals is enough.
-    pub fn is_leaving(self) -> bool {
-        self.by_tree || self.by_list || self.by_itself
+    pub fn is_draining(self) -> bool {
+        self.by_tree || self.by_list || self.by_report
     }
 }
 
@@ -60,7 +60,7 @@
     /// Hash of the name, for placement.
     pub hash: u64,
     /// Signals that it drains.
-    pub leaving: Leaving,
+    pub drain: Drain,
     /// Record of its failures.
     pub health: Health,
     /// Its waiting work.
@@ -74,11 +74,11 @@
     /// How fast its cache fills.
     pub pressure: Pressure,
     incarnation: Option<id::Incarnation>,
-    fits: bool,
+    weights_match: bool,
     /// Backoff that it has asked for.
     backoff: Backoff,
     /// Until when it drains by the signal of a response.
-    leaves_until: Moment,
+    draining_until: Moment,
     /// Rate limit that it has announced for all boxes together.
     limit: Share,
 }
@@ -90,7 +90,7 @@
         Self {
             id,
             hash,
-            leaving: Leaving::default(),
+            drain: Drain::default(),
             health: Health::default(),
             backlog: Backlog::default(),
             open: 0,
@@ -98,48 +98,48 @@
             fill: 0,
             pressure: Pressure::default(),
             incarnation: None,
-            fits: true,
+            weights_match: true,
             backoff: Backoff::default(),
-            leaves_until: Moment::ZERO,
+            draining_until: Moment::ZERO,
             limit: Share::default(),
         }
     }
 
     /// Whether it may get a new request now.
-    pub fn is_usable(&self, now: Moment) -> bool {
-        self.is_willing(now) && self.health.is_available(now)
+    pub fn is_available(&self, now: Moment) -> bool {
+        self.accepts_requests(now) && self.health.is_available(now)
     }
 
     /// Whether it takes work, as far as is known; it may be failing.
-    pub fn is_willing(&self, now: Moment) -> bool {
-        self.would_take_work(now)
+    pub fn accepts_requests(&self, now: Moment) -> bool {
+        self.is_in_rotation(now)
             && !self.backoff.blocks(self.open, now)
             && self.limit.permit_after(now).is_zero()
     }
 
     /// Whether it takes work but for its backoff and rate limit.
-    fn would_take_work(&self, now: Moment) -> bool {
-        self.fits && !self.leaving.is_leaving() && now >= self.leaves_until
+    fn is_in_rotation(&self, now: Moment) -> bool {
+        self.weights_match && !self.drain.is_draining() && now >= self.draining_until
     }
 
     /// When it takes work, where only its backoff or rate limit is in the way.
-    pub fn back_at(&self, now: Moment) -> Option<Moment> {
+    pub fn available_at(&self, now: Moment) -> Option<Moment> {
         let back = self.backoff.until().max(now + self.limit.permit_after(now));
-        self.would_take_work(now).then_some(back)
+        self.is_in_rotation(now).then_some(back)
     }
 
     /// Why it gets no request now, for operators; `None` where it does.
     pub fn left_out(&self, now: Moment) -> Option<LeftOut> {
         let obstacles = [
-            (self.leaving.by_tree, Obstacle::LeavesByTree, None),
-            (self.leaving.by_list, Obstacle::LeavesByList, None),
-            (self.leaving.by_itself, Obstacle::LeavesByReport, None),
+            (self.drain.by_tree, Obstacle::LeavesByTree, None),
+            (self.drain.by_list, Obstacle::LeavesByList, None),
+            (self.drain.by_report, Obstacle::LeavesByReport, None),
             (
-                now < self.leaves_until,
+                now < self.draining_until,
                 Obstacle::LeavesByAnswer,
-                Some(self.leaves_until),
+                Some(self.draining_until),
             ),
-            (!self.fits, Obstacle::OtherWeights, None),
+            (!self.weights_match, Obstacle::OtherWeights, None),
             (
                 self.backoff.blocks(self.open, now),
                 Obstacle::Backoff,
@@ -165,14 +165,14 @@
     /// Applies the signals of a response to a request that was sent at `sent`.
     ///
     /// A report doesn't lift them: it may be older or incomplete.
-    pub fn apply_signals(&mut self, signals: Signals, sent: Moment, now: Moment) -> Applied {
-        let left = now < self.leaves_until;
+    pub fn apply_signals(&mut self, signals: Signals, sent: Moment, now: Moment) -> Changes {
+        let left = now < self.draining_until;
         if signals.draining {
-            self.leaves_until = self.incarnation.map_or(now + LEAVES_FOR, |_| Moment::MAX);
+            self.draining_until = self.incarnation.map_or(now + DRAIN_DURATION, |_| Moment::MAX);
         }
         let changed = self.limit.observe(signals.limit, sent, now);
-        Applied {
-            drains: signals.draining && !left,
+        Changes {
+            started_draining: signals.draining && !left,
             backoff_until: self.backoff.observe(signals, self.open, now),
             limit: changed.then(|| self.limit.rate()),
         }
@@ -205,14 +205,14 @@
 
     /// Whether a fact about its cache still holds: the same incarnation, and
     /// fewer than `blocks` blocks put in since.
-    pub fn still_holds(&self, holder: &Holder, blocks: u32) -> bool {
+    pub fn is_current(&self, holder: &Holder, blocks: u32) -> bool {
         holder.epoch == self.epoch && self.fill.wrapping_sub(holder.fill) < blocks
     }
 
     /// Notes that it denied a request: it drains or has other weights, and
     /// gets nothing more for a while.
     pub fn note_denial(&mut self, now: Moment) {
-        self.backoff.pause(DENIAL, now);
+        self.backoff.pause(DENIAL_PAUSE, now);
     }
 
     /// Its last known incarnation.
@@ -233,7 +233,7 @@
             self.pressure = Pressure::default();
             self.backoff = Backoff::default();
             self.limit.reset();
-            self.leaves_until = Moment::ZERO;
+            self.draining_until = Moment::ZERO;
         }
         new
     }
@@ -241,8 +241,8 @@
     /// Takes a report; `true` when it shows a new incarnation.
     pub fn note_report(&mut self, report: &Report, model: &str, weights: &str, now: Moment) -> bool {
         let new = self.note_incarnation(report.incarnation);
-        self.leaving.by_itself = report.leaving;
-        self.fits = report.model == model && report.weights == weights;
+        self.drain.by_report = report.leaving;
+        self.weights_match = report.model == model && report.weights == weights;
         let age = Duration::from_millis(report.age_ms.into());
         self.backlog.report(&report.load, now.saturating_sub(age));
         new
--- a/crates/jb-policy/tests/route.rs
+++ b/crates/jb-policy/tests/route.rs
@@ -142,11 +142,11 @@
     for signal in 0..3 {
         let mut pool = Pool::new(&service(2, ""), "h");
         let home = choose(&mut pool, &ask("ann", 1), at(0)).upstream;
-        let leaving = &mut pool.upstream_mut(&home).expect("it is there").leaving;
+        let leaving = &mut pool.upstream_mut(&home).expect("it is there").drain;
         match signal {
             0 => leaving.by_tree = true,
             1 => leaving.by_list = true,
-            _ => leaving.by_itself = true,
+            _ => leaving.by_report = true,
         }
         assert_ne!(choose(&mut pool, &ask("ann", 1), at(10)).upstream, home);
     }
@@ -162,9 +162,9 @@
     assert_ne!(choose(&mut pool, &ask("ann", 1), at(10)).upstream, home);
     let later = at(600);
     let upstream = pool.upstream_mut(&home).expect("it is there");
-    assert!(upstream.is_usable(later));
+    assert!(upstream.is_available(later));
     upstream.health.note_sent();
-    assert!(!upstream.is_usable(later));
+    assert!(!upstream.is_available(later));
     assert_eq!(pool.succeeded(&home), Change::Returned);
 }
 
--- a/crates/jb-policy/tests/signal.rs
+++ b/crates/jb-policy/tests/signal.rs
@@ -97,17 +97,20 @@
 fn report_lifts_neither_a_leaving_nor_a_rest_and_a_new_life_starts_without_them() {
     let mut upstream = upstream();
     upstream.note_report(&report(1), "quill", "w1", NOW);
-    assert!(upstream.apply_signals(LEAVES, NOW, NOW).drains);
-    assert!(!upstream.apply_signals(LEAVES, NOW, NOW).drains, "told once");
+    assert!(upstream.apply_signals(LEAVES, NOW, NOW).started_draining);
+    assert!(
+        !upstream.apply_signals(LEAVES, NOW, NOW).started_draining,
+        "told once"
+    );
     upstream.apply_signals(asks_for(Duration::from_secs(60)), NOW, NOW);
     upstream.note_report(&report(1), "quill", "w1", NOW);
-    assert!(!upstream.is_willing(NOW));
+    assert!(!upstream.accepts_requests(NOW));
     assert!(
-        !upstream.is_willing(NOW + Duration::from_secs(10_000)),
+        !upstream.accepts_requests(NOW + Duration::from_secs(10_000)),
         "it leaves"
     );
     upstream.note_report(&report(2), "quill", "w1", NOW);
-    assert!(upstream.is_willing(NOW));
+    assert!(upstream.accepts_requests(NOW));
 }
 
 /// Its successor may have its name and address, and nothing else would show that.
@@ -115,18 +118,18 @@
 fn upstream_without_lives_that_leaves_is_asked_again_after_ten_minutes() {
     let mut upstream = upstream();
     upstream.apply_signals(LEAVES, NOW, NOW);
-    assert!(!upstream.is_willing(NOW + Duration::from_secs(599)));
-    assert!(upstream.is_willing(NOW + Duration::from_secs(600)));
+    assert!(!upstream.accepts_requests(NOW + Duration::from_secs(599)));
+    assert!(upstream.accepts_requests(NOW + Duration::from_secs(600)));
 }
 
 #[test]
 fn upstream_that_rests_tells_when_it_is_back_and_one_that_leaves_does_not() {
     let mut upstream = upstream();
     upstream.apply_signals(asks_for(Duration::from_secs(3)), NOW, NOW);
-    assert!(!upstream.is_willing(NOW));
-    assert_eq!(upstream.back_at(NOW), Some(NOW + Duration::from_secs(3)));
+    assert!(!upstream.accepts_requests(NOW));
+    assert_eq!(upstream.available_at(NOW), Some(NOW + Duration::from_secs(3)));
     upstream.apply_signals(LEAVES, NOW, NOW);
-    assert_eq!(upstream.back_at(NOW), None);
+    assert_eq!(upstream.available_at(NOW), None);
 }
 
 /// Requests that waited for the end of a rest came all at once and were turned away again.
@@ -170,7 +173,7 @@
         (leaves.obstacle, leaves.for_ms),
         (Obstacle::LeavesByAnswer, Some(600_000))
     );
-    upstream.leaving.by_tree = true;
+    upstream.drain.by_tree = true;
     let tree = upstream.left_out(NOW).expect("left out");
     assert_eq!((tree.obstacle, tree.for_ms), (Obstacle::LeavesByTree, None));
 }
