--- a/crates/jb-policy/src/call.rs
+++ b/crates/jb-policy/src/call.rs
@@ -1,37 +1,36 @@
-//! Life cycle of one request as types.
+//! States of a request as types.
 //!
-//! A refusal that says "not run" can only be made from [`Call<Unsent>`], or
-//! from an upstream's explicit word that it did not run the only attempt. So
-//! the compiler keeps that promise. A request that runs at most once has no
-//! way back from [`Call<Sent>`] to being sent again.
+//! Only [`Call<Unsent>`] can produce a refusal that reports "not run", and a sent call returns to that state
+//! only by an upstream's explicit denial of its only attempt, so the compiler enforces the guarantee. A
+//! non-idempotent request can't be sent again from [`Call<Sent>`].
 
 use std::time::Duration;
 
 use jb_protocol::error::{Kind, Outcome};
 use jb_protocol::id;
 
-/// Nothing of the request can have reached an upstream.
+/// State in which no part of the request can have reached an upstream.
 #[derive(Debug)]
 pub struct Unsent(());
-/// A byte of the request may have reached an upstream.
+/// State in which a part of the request may have reached an upstream.
 #[derive(Debug)]
 pub struct Sent {
     earlier_may_have_run: bool,
 }
-/// A part of the answer has been delivered.
+/// State in which a part of the response has been delivered.
 #[derive(Debug)]
 pub struct Streaming(());
 
-/// One request of a caller.
+/// A request of a caller, in state `S`.
 #[derive(Debug)]
 pub struct Call<S> {
     id: String,
-    once: bool,
+    at_most_once: bool,
     attempts: u32,
     state: S,
 }
 
-/// The final answer to a request that is given up.
+/// Final error answer to a request that the router gives up.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
     kind: Kind,
@@ -41,22 +40,22 @@
 }
 
 impl Refusal {
-    /// Kind of error.
+    /// Returns the kind of error.
     pub fn kind(&self) -> Kind {
         self.kind
     }
 
-    /// Whether the request has run.
+    /// Returns whether the request has run.
     pub fn outcome(&self) -> Outcome {
         self.outcome
     }
 
-    /// What happened.
+    /// Returns the description of the error for the caller.
     pub fn detail(&self) -> &str {
         &self.detail
     }
 
-    /// When to come back.
+    /// Returns the time after which the caller may retry, if one is known.
     pub fn retry_after(&self) -> Option<Duration> {
         self.retry_after
     }
@@ -70,7 +69,7 @@
         }
     }
 
-    /// Adds when to come back.
+    /// Sets the time after which the caller may retry.
     #[must_use]
     pub fn with_retry_after(mut self, after: Duration) -> Self {
         self.retry_after = Some(after);
@@ -78,48 +77,48 @@
     }
 }
 
-/// An upstream's explicit word that it did not run an attempt.
+/// An upstream's explicit statement that it did not run an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Denial {
     reason: String,
 }
 
 impl Denial {
-    /// Wraps an upstream's explicit refusal; adapters make one only from an
-    /// answer that says so in the protocol's own field.
+    /// Wraps an upstream's denial; adapters create one only from a response that reports it in the protocol's
+    /// own field.
     pub fn from_upstream(reason: impl Into<String>) -> Self {
         Self {
             reason: reason.into(),
         }
     }
 
-    /// Why the upstream refused.
+    /// Returns the reason that the upstream gave.
     pub fn reason(&self) -> &str {
         &self.reason
     }
 }
 
-/// Where a request stands after an upstream has denied an attempt.
+/// State of a request after an upstream has denied an attempt.
 #[derive(Debug)]
 pub enum Denied {
-    /// No attempt can have run: it stands as if never sent.
+    /// No attempt has run; the request may be sent as if for the first time.
     NotRun(Call<Unsent>),
     /// An earlier attempt may have run.
     MayHaveRun(Call<Sent>),
 }
 
 impl<S> Call<S> {
-    /// Id of the request.
+    /// Returns the id of the request.
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// Attempts made.
+    /// Returns the number of attempts that were sent.
     pub fn attempts(&self) -> u32 {
         self.attempts
     }
 
-    /// Id of the present attempt.
+    /// Returns the id of the current attempt.
     pub fn attempt(&self) -> id::Attempt {
         format!("{}.{}", self.id, self.attempts)
     }
@@ -127,7 +126,7 @@
     fn into_state<T>(self, state: T) -> Call<T> {
         Call {
             id: self.id,
-            once: self.once,
+            at_most_once: self.at_most_once,
             attempts: self.attempts,
             state,
         }
@@ -135,17 +134,17 @@
 }
 
 impl Call<Unsent> {
-    /// A request as it came in.
-    pub fn new(id: String, once: bool) -> Self {
+    /// Creates a call that has not been sent; `at_most_once` is set for non-idempotent requests.
+    pub fn new(id: String, at_most_once: bool) -> Self {
         Self {
             id,
-            once,
+            at_most_once,
             attempts: 0,
             state: Unsent(()),
         }
     }
 
-    /// Begins the first attempt. From here on it may run.
+    /// Starts the first attempt, which may run from now on.
     pub fn send(mut self) -> Call<Sent> {
         self.attempts += 1;
         self.into_state(Sent {
@@ -153,20 +152,21 @@
         })
     }
 
-    /// Gives the request up because another request with its key came before.
-    /// That one may have run, and to the caller the two are one.
+    /// Refuses the request because an earlier one has the same idempotency key.
+    ///
+    /// The outcome is "may have run": the earlier request may have run, and for the caller they are the same.
     pub fn refuse_duplicate(&self, detail: impl Into<String>) -> Refusal {
         Refusal::new(Kind::AlreadyClaimed, Outcome::MayHaveRun, detail)
     }
 
-    /// Gives the request up. The answer says that it did not run.
+    /// Refuses the request with the outcome "not run".
     pub fn refuse(&self, kind: Kind, detail: impl Into<String>) -> Refusal {
         Refusal::new(kind, Outcome::NotRun, detail)
     }
 }
 
 impl Call<Sent> {
-    /// Takes an upstream's explicit word that it did not run this attempt.
+    /// Applies an upstream's denial of the current attempt.
     pub fn deny(self, _denial: &Denial) -> Denied {
         if self.state.earlier_may_have_run {
             Denied::MayHaveRun(self)
@@ -175,12 +175,12 @@
         }
     }
 
-    /// Begins another attempt after one that may have run.
+    /// Starts another attempt after one that may have run.
     ///
     /// # Errors
-    /// The final refusal, for a request that runs at most once.
+    /// Returns the final refusal for a request that runs at most once.
     pub fn resend(mut self, failed: Kind, detail: &str) -> Result<Self, Refusal> {
-        if self.once {
+        if self.at_most_once {
             return Err(self.fail(failed, detail));
         }
         self.attempts += 1;
@@ -188,31 +188,31 @@
         Ok(self)
     }
 
-    /// The first part of the answer is delivered.
+    /// Notes that the first part of the response is delivered.
     pub fn deliver(self) -> Call<Streaming> {
         self.into_state(Streaming(()))
     }
 
-    /// Gives the request up. The answer says that it may have run.
+    /// Fails the request with the outcome "may have run".
     pub fn fail(&self, kind: Kind, detail: impl Into<String>) -> Refusal {
         Refusal::new(kind, Outcome::MayHaveRun, detail)
     }
 }
 
 impl Call<Streaming> {
-    /// Begins another attempt that goes on at the next index.
+    /// Starts another attempt that resumes the stream at the next index.
     ///
     /// # Errors
-    /// The final refusal, for a request that runs at most once.
+    /// Returns the final refusal for a request that runs at most once.
     pub fn resume(mut self, detail: &str) -> Result<Self, Refusal> {
-        if self.once {
+        if self.at_most_once {
             return Err(self.abort(Kind::StreamBroken, detail));
         }
         self.attempts += 1;
         Ok(self)
     }
 
-    /// Gives the request up. The answer says that it ran partly.
+    /// Aborts the request with the outcome "ran partly".
     pub fn abort(&self, kind: Kind, detail: impl Into<String>) -> Refusal {
         Refusal::new(kind, Outcome::RanPartly, detail)
     }
--- a/crates/jb-policy/src/health.rs
+++ b/crates/jb-policy/src/health.rs
@@ -1,75 +1,79 @@
-//! Leaving failing upstreams out, and letting them return with care.
+//! Ejection of failing upstreams, and their gradual return.
 
 use std::time::Duration;
 
 use crate::Moment;
 
-/// Failures in a row after which an upstream is left out.
-const FAILURES: u32 = 2;
-/// First time of being left out; it doubles with each further failure.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
-/// Longest time of being left out.
-const LONGEST_PAUSE: Duration = Duration::from_secs(15);
-/// Doublings after which the pause grows no further.
-const DOUBLINGS: u32 = 5;
+/// Consecutive failures after which an upstream is ejected.
+const FAILURE_THRESHOLD: u32 = 2;
+/// Duration of the first ejection; it doubles with each further failure.
+const FIRST_EJECTION: Duration = Duration::from_millis(500);
+/// Longest ejection.
+const MAX_EJECTION: Duration = Duration::from_secs(15);
+/// Doublings after which the ejection grows no further.
+const MAX_DOUBLINGS: u32 = 5;
 
-/// What a report of success or failure changed.
+/// Change of an upstream's state by the result of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing.
+    /// No change.
     None,
-    /// The upstream is left out from now on.
+    /// The upstream is ejected.
     Ejected,
-    /// The upstream is in full use again.
+    /// The upstream receives requests without restriction again.
     Returned,
 }
 
-/// Record of one upstream's failures.
+/// Failures and ejection of one upstream.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     failures: u32,
-    paused_until: Moment,
-    trial: bool,
+    ejected_until: Moment,
+    is_probing: bool,
 }
 
 impl Health {
-    /// Whether the upstream may get a request now.
+    /// Returns whether the upstream may receive a request.
     ///
-    /// After its pause it gets one request at a time until one succeeds.
+    /// After an ejection it receives one request at a time until one succeeds.
     pub fn is_available(&self, now: Moment) -> bool {
-        self.failures < FAILURES || (now >= self.paused_until && !self.trial)
+        self.failures < FAILURE_THRESHOLD || (now >= self.ejected_until && !self.is_probing)
     }
 
-    /// Notes that a request is sent.
+    /// Notes that a request was sent.
     pub fn note_sent(&mut self) {
-        if self.failures >= FAILURES {
-            self.trial = true;
+        if self.failures >= FAILURE_THRESHOLD {
+            self.is_probing = true;
         }
     }
 
-    /// Notes that a request ended well.
+    /// Notes that a request succeeded.
     pub fn note_success(&mut self) -> Change {
-        let was_out = self.failures >= FAILURES;
+        let was_ejected = self.failures >= FAILURE_THRESHOLD;
         *self = Self::default();
-        if was_out { Change::Returned } else { Change::None }
+        if was_ejected {
+            Change::Returned
+        } else {
+            Change::None
+        }
     }
 
-    /// Notes that a request ended without telling anything about the upstream.
+    /// Notes that a request ended without showing whether the upstream works, for example cancelled by its caller.
     pub fn note_inconclusive(&mut self) {
-        self.trial = false;
+        self.is_probing = false;
     }
 
-    /// Notes that a request failed through the upstream's fault.
+    /// Notes that a request failed because of the upstream.
     pub fn note_failure(&mut self, now: Moment) -> Change {
-        self.trial = false;
+        self.is_probing = false;
         self.failures = self.failures.saturating_add(1);
-        if self.failures < FAILURES {
+        if self.failures < FAILURE_THRESHOLD {
             return Change::None;
         }
-        let doublings = (self.failures - FAILURES).min(DOUBLINGS);
-        let pause = FIRST_PAUSE * 2_u32.pow(doublings);
-        self.paused_until = now + pause.min(LONGEST_PAUSE);
-        if self.failures == FAILURES {
+        let doublings = (self.failures - FAILURE_THRESHOLD).min(MAX_DOUBLINGS);
+        let ejection = FIRST_EJECTION * 2_u32.pow(doublings);
+        self.ejected_until = now + ejection.min(MAX_EJECTION);
+        if self.failures == FAILURE_THRESHOLD {
             Change::Ejected
         } else {
             Change::None
--- a/crates/jb-policy/src/idempotency.rs
+++ b/crates/jb-policy/src/idempotency.rs
@@ -1,84 +1,83 @@
-//! Claims on requests that run at most once.
+//! Idempotency records of requests that run at most once.
 //!
-//! A idempotency is an entry in a document_name of the platform's key-value service.
-//! Entries are spread over shards, and a box writes all claims that wait for
-//! a shard in one compare-and-swap. The swap is the fence: whatever two boxes
-//! believe of each other, only one can enter a key. An entry names its
-//! owner, so that a writer who lost the answer finds its own entry again.
+//! A record is a part of a document in the platform's key-value service. Records are distributed over shards,
+//! and a box writes all records that wait for a shard in one compare-and-swap. The swap is the fence: whatever
+//! two boxes know of each other, only one of them can insert a key. A record names its owner, so that a writer
+//! that lost the response to its write recognises its own record.
 
 use std::collections::HashMap;
 
 use sha2::{Digest as _, Sha256};
 
-/// Shards over which the claims are spread.
+/// Shards over which the records are distributed.
 pub const SHARDS: u32 = 16;
-/// Seconds for which a idempotency is remembered.
+/// Seconds for which a record is kept.
 pub const RETENTION_S: u64 = 3600;
-/// Most entries of a shard; a full shard refuses instead of forgetting.
+/// Maximum number of records in a shard; a full shard rejects new records instead of evicting old ones.
 pub const MAX_RECORDS: usize = 24_000;
-const ENTRY_BYTES: usize = 32;
+const RECORD_BYTES: usize = 32;
 
-/// Hash of a customer, a service and the caller's key.
+/// Hash of a customer, a service and the caller's idempotency key.
 pub type Key = u128;
-/// Number that names one owner: one request at one box.
+/// Id of the owner of a record: one request at one box.
 pub type Owner = u64;
 
-/// One idempotency.
+/// Idempotency record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// What is claimed.
+    /// Key.
     pub key: Key,
-    /// Who claimed it.
+    /// Request that runs under the key.
     pub owner: Owner,
-    /// When, in seconds since 1970.
+    /// Time of the reservation, in seconds since the Unix epoch.
     pub at_s: u64,
 }
 
-/// A idempotency that a request waits for.
+/// Reservation of a key that a request waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reservation {
-    /// What to idempotency.
+    /// Key to reserve.
     pub key: Key,
-    /// Who claims.
+    /// Request that reserves it.
     pub owner: Owner,
 }
 
-/// Answer to a wish.
+/// Result of a reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// The owner holds the key; the request may run.
     Granted,
     /// Another owner holds the key.
     Duplicate,
-    /// The shard has no room; nothing was claimed.
+    /// The shard is full; nothing was reserved.
     Full,
 }
 
-/// Entries of one shard.
+/// Records of one shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Shard {
-    entries: Vec<Record>,
+    records: Vec<Record>,
 }
 
-/// What to do about a batch of wishes.
+/// Result of a batch of reservations, with the write that it needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// A verdict for each wish, in order; `Granted` holds only once `write`
-    /// has been written by compare-and-swap on the shard that was read.
+    /// A decision for each reservation, in order; `Granted` takes effect only once `write` has been written by
+    /// compare-and-swap on the shard that was read.
     pub decisions: Vec<Decision>,
-    /// The shard to write; `None` when every verdict holds already.
+    /// Shard to write; `None` if no record was added.
     pub write: Option<Shard>,
 }
 
-/// A shard document_name that cannot be read.
+/// Error of decoding a shard whose document is truncated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the claims document_name has {0} bytes, which is no whole number of entries")]
+#[error("idempotency document truncated: {0} bytes are not a whole number of records")]
 pub struct Truncated(usize);
 
-/// Key of a customer's request.
+/// Returns the key of a customer's request.
 ///
-/// The hash is a cryptographic one: callers choose their keys, and nobody may
-/// choose one that takes another customer's place.
+/// The hash is cryptographic: callers choose their own keys, and must not be able to construct one that
+/// collides with another customer's.
 pub fn key(customer: &str, service: &str, caller_key: &str) -> Key {
     let mut hash = Sha256::new();
     for part in [customer, service, caller_key] {
@@ -91,88 +90,89 @@
     Key::from_le_bytes(half)
 }
 
-/// Shard of a key.
+/// Returns the shard that holds a key.
 pub fn shard_of(key: Key) -> u32 {
     u32::try_from(key % u128::from(SHARDS)).unwrap_or(0)
 }
 
-/// Name of a shard's document_name.
+/// Returns the name of a shard's document in the key-value service.
 pub fn document_name(shard: u32) -> String {
     format!("claims/{shard}")
 }
 
 impl Shard {
-    /// Reads a document_name.
+    /// Decodes a document.
     ///
     /// # Errors
-    /// [`Truncated`] when it is cut off.
+    /// Returns [`Truncated`] if the length is not a multiple of a record's.
     pub fn decode(bytes: &[u8]) -> Result<Self, Truncated> {
-        if !bytes.len().is_multiple_of(ENTRY_BYTES) {
+        if !bytes.len().is_multiple_of(RECORD_BYTES) {
             return Err(Truncated(bytes.len()));
         }
-        let entries = bytes.chunks_exact(ENTRY_BYTES).map(decode_entry).collect();
-        Ok(Self { entries })
+        let records = bytes.chunks_exact(RECORD_BYTES).map(decode_record).collect();
+        Ok(Self { records })
     }
 
-    /// Writes the document_name.
+    /// Encodes the shard as a document.
     pub fn encode(&self) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(self.entries.len() * ENTRY_BYTES);
-        for entry in &self.entries {
-            bytes.extend_from_slice(&entry.key.to_le_bytes());
-            bytes.extend_from_slice(&entry.owner.to_le_bytes());
-            bytes.extend_from_slice(&entry.at_s.to_le_bytes());
+        let mut bytes = Vec::with_capacity(self.records.len() * RECORD_BYTES);
+        for record in &self.records {
+            bytes.extend_from_slice(&record.key.to_le_bytes());
+            bytes.extend_from_slice(&record.owner.to_le_bytes());
+            bytes.extend_from_slice(&record.at_s.to_le_bytes());
         }
         bytes
     }
 
-    /// Entries remembered.
+    /// Returns the number of records, including expired ones.
     pub fn len(&self) -> usize {
-        self.entries.len()
+        self.records.len()
     }
 
-    /// Whether nothing is claimed.
+    /// Returns whether the shard has no records.
     pub fn is_empty(&self) -> bool {
-        self.entries.is_empty()
+        self.records.is_empty()
     }
 
-    /// Plans a batch of wishes against the shard as it was read.
-    pub fn plan(&self, wishes: &[Reservation], now_s: u64) -> Plan {
+    /// Decides a batch of reservations on the shard as it was read, without expired records.
+    pub fn plan(&self, reservations: &[Reservation], now_s: u64) -> Plan {
         let oldest = now_s.saturating_sub(RETENTION_S);
-        let mut entries: Vec<Record> = self
-            .entries
+        let mut records: Vec<Record> = self
+            .records
             .iter()
-            .filter(|e| e.at_s >= oldest)
+            .filter(|record| record.at_s >= oldest)
             .copied()
             .collect();
-        let mut holders: HashMap<Key, Owner> = entries.iter().map(|e| (e.key, e.owner)).collect();
+        let mut owners: HashMap<Key, Owner> =
+            records.iter().map(|record| (record.key, record.owner)).collect();
         let mut added = false;
-        let mut decisions = Vec::with_capacity(wishes.len());
-        for wish in wishes {
-            let verdict = match holders.get(&wish.key) {
-                Some(owner) if *owner == wish.owner => Decision::Granted,
+        let mut decisions = Vec::with_capacity(reservations.len());
+        for reservation in reservations {
+            let decision = match owners.get(&reservation.key) {
+                Some(owner) if *owner == reservation.owner => Decision::Granted,
                 Some(_) => Decision::Duplicate,
-                None if entries.len() >= MAX_RECORDS => Decision::Full,
+                None if records.len() >= MAX_RECORDS => Decision::Full,
                 None => {
-                    holders.insert(wish.key, wish.owner);
-                    entries.push(Record {
-                        key: wish.key,
-                        owner: wish.owner,
+                    owners.insert(reservation.key, reservation.owner);
+                    records.push(Record {
+                        key: reservation.key,
+                        owner: reservation.owner,
                         at_s: now_s,
                     });
                     added = true;
                     Decision::Granted
                 }
             };
-            decisions.push(verdict);
+            decisions.push(decision);
         }
         Plan {
             decisions,
-            write: added.then_some(Self { entries }),
+            write: added.then_some(Self { records }),
         }
     }
 }
 
-fn decode_entry(bytes: &[u8]) -> Record {
+fn decode_record(bytes: &[u8]) -> Record {
     let word = |at: usize| -> u64 {
         let mut word = [0; 8];
         word.copy_from_slice(&bytes[at..at + 8]);
--- a/crates/jb-policy/src/lib.rs
+++ b/crates/jb-policy/src/lib.rs
@@ -1,8 +1,7 @@
-//! Every decision of junctionbend, as a pure library.
+//! Decision logic of junctionbend, as a pure library.
 //!
-//! There is no I/O, no clock, no randomness and no thread in here: the caller
-//! passes in what happened and when, and gets back what to do. Times are
-//! [`Moment`]s, durations since a start of the caller's choice.
+//! The crate has no I/O, clock, randomness or threads: callers pass in events with their times and get
+//! decisions back. Times are [`Moment`]s, durations since an origin that the caller chooses.
 
 pub mod account;
 pub mod admission;
@@ -38,5 +37,5 @@
 pub mod upstream;
 pub mod weights;
 
-/// A point in time, as the duration since the process started.
+/// A point in time, as the duration since an origin that the caller chooses, such as the start of the process.
 pub type Moment = std::time::Duration;
--- a/crates/jb-policy/src/prefix_index.rs
+++ b/crates/jb-policy/src/prefix_index.rs
@@ -1,48 +1,46 @@
-//! What this box knows of the engines' caches.
+//! Index of prompt prefixes to the engines that have them cached.
 //!
-//! The index leads from a prefix to the engines that held it when last known
-//! of. It is fed by the cached-token count of each answer, which costs no
-//! message. Two generations bound its memory: when the young one is full it
-//! becomes the old one, and what was not used since is forgotten. An engine's
-//! epoch grows with each incarnation, so that facts of an earlier one are
-//! void at once without being searched for.
+//! It is updated by the cached-token count in each response, so it costs no extra messages. Two generations bound
+//! its memory: when the young one is full it becomes the old one, and entries of the previous old one that were
+//! not used since are dropped. An engine's epoch rises with each incarnation, which invalidates all entries of
+//! earlier incarnations without a search.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hasher};
 
 use crate::prefix::{Chain, Hash};
 
-/// Engines remembered for one prefix.
-const HOLDERS: usize = 8;
+/// Maximum number of engines that are kept for one prefix.
+const MAX_HOLDERS: usize = 8;
 
 /// EngineIndex of an engine within its service.
 pub type EngineIndex = u32;
-/// Count of an engine's incarnations as this box has seen them.
+/// Number of an engine's incarnations that this box has observed.
 pub type Epoch = u32;
-/// Blocks that have been put into an engine's cache so far; it wraps around.
+/// Number of blocks that were inserted into an engine's cache; wraps around.
 pub type Fill = u32;
 
-/// An engine that holds a prefix.
+/// An engine that has a prefix cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Holder {
     /// The engine.
     pub engine: EngineIndex,
-    /// Its epoch when the fact was learned.
+    /// Epoch of the engine when the entry was made.
     pub epoch: Epoch,
-    /// Its fill when the fact was learned.
+    /// Fill of the engine's cache when the entry was made.
     pub fill: Fill,
 }
 
-/// A known length of a prompt at one engine.
+/// Longest prefix of a prompt that is known to be cached at one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Match {
     /// The engine.
     pub engine: EngineIndex,
-    /// Tokens of the prompt that it held.
+    /// Length of the prefix in tokens.
     pub tokens: u32,
 }
 
-/// The keys are hashes already; hashing them again would only cost time.
+/// Hasher that returns the key unchanged, as the keys are hashes already.
 #[derive(Default)]
 pub struct IdentityHasher(u64);
 
@@ -62,11 +60,11 @@
     }
 }
 
-/// Fixed room for the holders of one prefix, the newest last.
+/// Holders of one prefix in an array of fixed size, the newest last.
 #[derive(Clone, Copy, Debug)]
 struct Holders {
     count: u8,
-    list: [Holder; HOLDERS],
+    list: [Holder; MAX_HOLDERS],
 }
 
 impl Holders {
@@ -76,7 +74,7 @@
             engine: 0,
             epoch: 0,
             fill: 0,
-        }; HOLDERS],
+        }; MAX_HOLDERS],
     };
 
     fn as_slice(&self) -> &[Holder] {
@@ -84,7 +82,7 @@
     }
 
     fn remove(&mut self, engine: EngineIndex) {
-        let Some(at) = self.as_slice().iter().position(|h| h.engine == engine) else {
+        let Some(at) = self.as_slice().iter().position(|holder| holder.engine == engine) else {
             return;
         };
         self.list.copy_within(at + 1..usize::from(self.count), at);
@@ -93,7 +91,7 @@
 
     fn insert(&mut self, holder: Holder) {
         self.remove(holder.engine);
-        if usize::from(self.count) == HOLDERS {
+        if usize::from(self.count) == MAX_HOLDERS {
             self.list.copy_within(1.., 0);
             self.count -= 1;
         }
@@ -104,7 +102,7 @@
 
 type Generation = HashMap<Hash, Holders, BuildHasherDefault<IdentityHasher>>;
 
-/// The index of one service's engines in one hall.
+/// Prefix index of one service's engines in one hall.
 #[derive(Default)]
 pub struct PrefixIndex {
     young: Generation,
@@ -113,7 +111,7 @@
 }
 
 impl PrefixIndex {
-    /// Makes an index of at most `capacity` prefixes in each generation.
+    /// Creates an index of at most `capacity` prefixes in each generation.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity: capacity.max(1),
@@ -121,30 +119,30 @@
         }
     }
 
-    /// Prefixes remembered.
+    /// Returns the number of prefixes in both generations.
     pub fn len(&self) -> usize {
         self.young.len() + self.old.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Returns whether the index has no entries.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The longest known prefix of a prompt at each engine that holds any;
-    /// `is_valid` selects the facts that still hold.
+    /// Returns the longest cached prefix of a prompt at each engine that has any; `is_valid` selects the entries
+    /// that are still valid.
     pub fn lookup(&self, chain: &Chain, is_valid: impl Fn(&Holder) -> bool) -> Vec<Match> {
-        let mut found: Vec<Match> = Vec::with_capacity(HOLDERS);
-        for mark in chain.prefixes.iter().rev() {
-            let Some(holders) = self.get(mark.hash) else {
+        let mut found: Vec<Match> = Vec::with_capacity(MAX_HOLDERS);
+        for prefix in chain.prefixes.iter().rev() {
+            let Some(holders) = self.get(prefix.hash) else {
                 continue;
             };
             for holder in holders.as_slice() {
-                let seen = found.iter().any(|k| k.engine == holder.engine);
+                let seen = found.iter().any(|known| known.engine == holder.engine);
                 if !seen && is_valid(holder) {
                     found.push(Match {
                         engine: holder.engine,
-                        tokens: mark.tokens,
+                        tokens: prefix.tokens,
                     });
                 }
             }
@@ -152,18 +150,18 @@
         found
     }
 
-    /// Learns that an engine holds a prompt up to `tokens`.
+    /// Inserts that an engine has the first `tokens` tokens of a prompt cached.
     pub fn insert(&mut self, chain: &Chain, holder: Holder, tokens: u32) {
-        for mark in chain.prefixes.iter().take_while(|m| m.tokens <= tokens) {
-            self.entry(mark.hash).insert(holder);
+        for prefix in chain.prefixes.iter().take_while(|prefix| prefix.tokens <= tokens) {
+            self.entry(prefix.hash).insert(holder);
         }
     }
 
-    /// Learns that an engine held no more than `tokens` of a prompt.
+    /// Removes an engine's entries for prefixes of a prompt that are longer than `tokens`.
     pub fn remove_beyond(&mut self, chain: &Chain, engine: EngineIndex, tokens: u32) {
-        for mark in chain.prefixes.iter().filter(|m| m.tokens > tokens) {
+        for prefix in chain.prefixes.iter().filter(|prefix| prefix.tokens > tokens) {
             for generation in [&mut self.young, &mut self.old] {
-                if let Some(holders) = generation.get_mut(&mark.hash) {
+                if let Some(holders) = generation.get_mut(&prefix.hash) {
                     holders.remove(engine);
                 }
             }
@@ -174,7 +172,7 @@
         self.young.get(&hash).or_else(|| self.old.get(&hash))
     }
 
-    /// The entry of a prefix in the young generation, moved there if need be.
+    /// Returns the holders of a prefix in the young generation; an entry in the old one is moved there.
     fn entry(&mut self, hash: Hash) -> &mut Holders {
         if !self.young.contains_key(&hash) && self.young.len() >= self.capacity {
             self.old = std::mem::take(&mut self.young);
--- a/crates/jb-policy/tests/idempotency.rs
+++ b/crates/jb-policy/tests/idempotency.rs
@@ -1,5 +1,5 @@
-//! Claims: however writers interleave, stop and lose answers, a key is
-//! granted to one owner only.
+//! Idempotency records: whatever the interleaving of writers, and whichever responses are lost, a key is granted
+//! to one owner only.
 
 #![allow(clippy::expect_used)]
 
@@ -11,54 +11,54 @@
 const NOW_S: u64 = 1_800_000_000;
 const ROUNDS: u64 = 300;
 
-/// A document_name with a version, as the platform keeps it.
+/// A versioned document, as in the platform's key-value service.
 #[derive(Default)]
 struct Document {
     version: u64,
     bytes: Vec<u8>,
 }
 
-/// A writer that has read the document_name and may be paused before it writes.
+/// A writer that may be paused between reading the document and writing it.
 struct Writer {
-    wish: Reservation,
+    reservation: Reservation,
     read: Option<(u64, Plan)>,
 }
 
 fn step(
-    document_name: &mut Document,
+    document: &mut Document,
     writer: &mut Writer,
     answer_lost: bool,
     granted: &mut HashMap<Key, Vec<Owner>>,
 ) {
     let Some((version, plan)) = writer.read.take() else {
-        let shard = Shard::decode(&document_name.bytes).expect("the document_name is whole");
-        writer.read = Some((document_name.version, shard.plan(&[writer.wish], NOW_S)));
+        let shard = Shard::decode(&document.bytes).expect("the document is complete");
+        writer.read = Some((document.version, shard.plan(&[writer.reservation], NOW_S)));
         return;
     };
     let written = match &plan.write {
         None => true,
-        Some(next) if version == document_name.version => {
-            document_name.version += 1;
-            document_name.bytes = next.encode();
-            // The write holds, but the writer does not learn of it.
+        Some(next) if version == document.version => {
+            document.version += 1;
+            document.bytes = next.encode();
+            // The write is applied even if the writer does not receive the response.
             !answer_lost
         }
         Some(_) => false,
     };
     if written && plan.decisions == [Decision::Granted] {
         granted
-            .entry(writer.wish.key)
+            .entry(writer.reservation.key)
             .or_default()
-            .push(writer.wish.owner);
+            .push(writer.reservation.owner);
     }
 }
 
 fn run(schedule: &[(u8, bool)]) -> TestResult {
-    let mut document_name = Document::default();
+    let mut document = Document::default();
     let mut granted: HashMap<Key, Vec<Owner>> = HashMap::new();
     let mut writers: Vec<Writer> = (0..6)
         .map(|n| Writer {
-            wish: Reservation {
+            reservation: Reservation {
                 key: Key::from(n % 2_u8),
                 owner: u64::from(n),
             },
@@ -67,16 +67,16 @@
         .collect();
     for (who, lost) in schedule {
         let index = usize::from(*who) % writers.len();
-        step(&mut document_name, &mut writers[index], *lost, &mut granted);
+        step(&mut document, &mut writers[index], *lost, &mut granted);
     }
     let single = granted
         .values()
-        .all(|claimants| claimants.iter().all(|c| *c == claimants[0]));
+        .all(|owners| owners.iter().all(|owner| *owner == owners[0]));
     TestResult::from_bool(single)
 }
 
 #[test]
-fn a_key_is_granted_to_one_claimant_in_any_interleaving() {
+fn key_is_granted_to_one_owner_in_any_interleaving() {
     for seed in 0..ROUNDS {
         let mut source = Gen::from_size_and_seed(120, seed);
         let schedule = Vec::<(u8, bool)>::arbitrary(&mut source);
@@ -85,42 +85,45 @@
 }
 
 #[test]
-fn a_frozen_writer_that_believes_in_its_reading_does_not_get_the_key() {
-    let mut document_name = Document::default();
+fn paused_writer_with_a_stale_read_does_not_get_the_key() {
+    let mut document = Document::default();
     let mut granted = HashMap::new();
-    let wish = |owner| Reservation { key: 1, owner };
-    let mut frozen = Writer {
-        wish: wish(1),
+    let reservation = |owner| Reservation { key: 1, owner };
+    let mut paused = Writer {
+        reservation: reservation(1),
         read: None,
     };
     let mut other = Writer {
-        wish: wish(2),
+        reservation: reservation(2),
         read: None,
     };
-    step(&mut document_name, &mut frozen, false, &mut granted);
-    step(&mut document_name, &mut other, false, &mut granted);
-    step(&mut document_name, &mut other, false, &mut granted);
-    step(&mut document_name, &mut frozen, false, &mut granted);
+    step(&mut document, &mut paused, false, &mut granted);
+    step(&mut document, &mut other, false, &mut granted);
+    step(&mut document, &mut other, false, &mut granted);
+    step(&mut document, &mut paused, false, &mut granted);
     assert_eq!(granted[&1], [2]);
 }
 
 #[test]
-fn a_claim_is_remembered_within_the_window_and_forgotten_after() {
-    let wishes = [Reservation { key: 7, owner: 1 }];
-    let shard = Shard::default().plan(&wishes, NOW_S).write.expect("a new entry");
-    let rival = [Reservation { key: 7, owner: 2 }];
-    assert_eq!(shard.plan(&rival, NOW_S + 3600).decisions, [Decision::Duplicate]);
-    assert_eq!(shard.plan(&rival, NOW_S + 3601).decisions, [Decision::Granted]);
+fn record_is_kept_for_the_retention_and_expires_after_it() {
+    let reservations = [Reservation { key: 7, owner: 1 }];
+    let shard = Shard::default()
+        .plan(&reservations, NOW_S)
+        .write
+        .expect("a new record");
+    let other = [Reservation { key: 7, owner: 2 }];
+    assert_eq!(shard.plan(&other, NOW_S + 3600).decisions, [Decision::Duplicate]);
+    assert_eq!(shard.plan(&other, NOW_S + 3601).decisions, [Decision::Granted]);
 }
 
 #[test]
-fn a_document_that_is_cut_off_is_refused() {
-    let wishes = [Reservation { key: 7, owner: 1 }];
+fn truncated_document_is_rejected() {
+    let reservations = [Reservation { key: 7, owner: 1 }];
     let bytes = Shard::default()
-        .plan(&wishes, NOW_S)
+        .plan(&reservations, NOW_S)
         .write
-        .expect("a new entry")
+        .expect("a new record")
         .encode();
     assert!(Shard::decode(&bytes[..bytes.len() - 1]).is_err());
-    assert_eq!(Shard::decode(&bytes).expect("whole").encode(), bytes);
+    assert_eq!(Shard::decode(&bytes).expect("complete").encode(), bytes);
 }
