--- a/crates/jb-policy/src/hall_reachability.rs
+++ b/crates/jb-policy/src/hall_reachability.rs
@@ -1,8 +1,8 @@
-//! Unreachable data halls.
+//! Reachability of data halls.
 //!
-//! Connections to a partitioned hall time out instead of being refused, so each attempt costs a request the whole
-//! connection timeout, and there are too many upstreams to learn it for each. So timeouts count for the whole hall for
-//! a while, and timeouts of several halls at once mean that the own hall is partitioned.
+//! Connections to a partitioned hall time out instead of being refused, so each attempt costs a request the full
+//! connection timeout, and there are too many upstreams to detect it for each. Timeouts therefore apply to the whole
+//! hall for a while, and timeouts of several halls at the same time mean that the own hall is partitioned.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,27 +11,27 @@
 
 use crate::Moment;
 
-/// First time for which a hall is avoided; it doubles with each further timeout.
+/// Duration for which a hall is avoided after the first timeouts; it doubles with each further timeout.
 const FIRST_PAUSE: Duration = Duration::from_secs(1);
-/// Longest such time.
+/// Longest duration for which a hall is avoided without a further timeout.
 const MAX_PAUSE: Duration = Duration::from_secs(4);
-/// Halls with timeouts from which on the own one counts as partitioned.
-const MIN_SILENT_HALLS: usize = 2;
+/// Number of halls with timeouts at which the own hall counts as partitioned.
+const PARTITION_THRESHOLD: usize = 2;
 
-/// Halls that requests avoid where others can take them.
+/// Halls that requests avoid if others can serve them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Avoided {
-    /// None.
+    /// No hall.
     #[default]
     None,
-    /// Some.
+    /// These halls.
     Halls(Vec<id::Hall>),
-    /// All but the own one.
+    /// All halls except the own one.
     Others,
 }
 
 impl Avoided {
-    /// Returns whether a hall is avoided by a box of the hall `own`.
+    /// Returns whether a box in the hall `own` avoids a hall.
     pub fn includes(&self, hall: &str, own: &str) -> bool {
         match self {
             Self::None => false,
@@ -41,28 +41,28 @@
     }
 }
 
-/// HallReachability of the other halls, by the connections of one box.
+/// Reachability of the other halls as seen by the connections of one box.
 #[derive(Debug, Default)]
 pub struct HallReachability {
-    silent: BTreeMap<id::Hall, Silence>,
-    /// When another hall has last answered.
-    reached: Option<Moment>,
+    timeouts: BTreeMap<id::Hall, Timeouts>,
+    /// Time at which another hall last responded.
+    last_answer: Option<Moment>,
 }
 
-/// Timeouts of connections to a hall since it last answered.
+/// Connection timeouts of a hall since its last response.
 #[derive(Clone, Copy, Debug)]
-struct Silence {
+struct Timeouts {
     since: Moment,
-    /// Until when it counts.
+    /// Time until which the hall is avoided.
     until: Moment,
     pause: Duration,
-    /// Name of the first upstream whose connection timed out.
+    /// Name hash of the first upstream whose connection timed out.
     first: u64,
-    /// Whether that of another one did as well: a single machine may be without power.
+    /// Whether a connection to another upstream timed out as well; with only one, its machine may be down.
     is_confirmed: bool,
 }
 
-impl Silence {
+impl Timeouts {
     fn new(upstream: u64, now: Moment) -> Self {
         Self {
             since: now,
@@ -73,9 +73,9 @@
         }
     }
 
-    fn again(self, upstream: u64, now: Moment) -> Self {
+    fn next(self, upstream: u64, now: Moment) -> Self {
         match (now < self.until, self.is_confirmed) {
-            // Connections that were opened at the same time time out together.
+            // Connections that were opened together also time out together, which is one observation.
             (true, true) => self,
             (true, false) => Self {
                 is_confirmed: upstream != self.first,
@@ -95,33 +95,33 @@
 }
 
 impl HallReachability {
-    /// Notes that a connection to an upstream of another hall timed out.
+    /// Notes that a connection to an upstream in another hall timed out.
     pub fn note_timeout(&mut self, hall: &str, upstream: u64, now: Moment) {
-        let known = self.silent.get(hall);
-        let silence = known.map_or(Silence::new(upstream, now), |known| known.again(upstream, now));
-        self.silent.insert(hall.to_owned(), silence);
+        let known = self.timeouts.get(hall);
+        let timeouts = known.map_or(Timeouts::new(upstream, now), |known| known.next(upstream, now));
+        self.timeouts.insert(hall.to_owned(), timeouts);
     }
 
-    /// Notes that another hall has answered, so the own one isn't partitioned.
+    /// Notes that another hall responded, which shows that the own hall isn't partitioned.
     pub fn note_answer(&mut self, hall: &str, now: Moment) {
-        self.reached = Some(now);
-        self.silent.remove(hall);
+        self.last_answer = Some(now);
+        self.timeouts.remove(hall);
     }
 
-    /// Returns whether every hall has answered since the last timeout, so that none is avoided.
+    /// Returns whether every hall has responded since its last timeout, so that none is avoided.
     pub fn all_answer(&self) -> bool {
-        self.silent.is_empty()
+        self.timeouts.is_empty()
     }
 
-    /// Returns the halls that requests avoid; `isolated` is whether the relay node of the own hall reaches no other.
-    pub fn avoided(&self, now: Moment, isolated: bool) -> Avoided {
-        let silent = || self.silent.iter().filter(|(_, silence)| now < silence.until);
-        let since = silent().map(|(_, silence)| silence.since).min();
-        let is_partitioned = isolated || silent().count() >= MIN_SILENT_HALLS;
-        if since.is_some() && self.reached < since && is_partitioned {
+    /// Returns the halls that requests avoid; `relay_is_partitioned` tells whether the own hall's relay node reaches no other hall.
+    pub fn avoided(&self, now: Moment, relay_is_partitioned: bool) -> Avoided {
+        let avoided = || self.timeouts.iter().filter(|(_, timeouts)| now < timeouts.until);
+        let since = avoided().map(|(_, timeouts)| timeouts.since).min();
+        let is_partitioned = relay_is_partitioned || avoided().count() >= PARTITION_THRESHOLD;
+        if since.is_some() && self.last_answer < since && is_partitioned {
             return Avoided::Others;
         }
-        let confirmed = silent().filter(|(_, silence)| silence.is_confirmed);
+        let confirmed = avoided().filter(|(_, timeouts)| timeouts.is_confirmed);
         let halls: Vec<id::Hall> = confirmed.map(|(hall, _)| hall.clone()).collect();
         if halls.is_empty() {
             Avoided::None
--- a/crates/jb-policy/src/member.rs
+++ b/crates/jb-policy/src/member.rs
@@ -1,9 +1,8 @@
-//! Soft membership between boxes.
+//! Membership protocol between boxes.
 //!
-//! Each tick a box probes a constant number of others, in turn, and sends
-//! each a constant number of updates. So the cost of a box does not
-//! grow with their number. Being taken for dead only turns traffic away; no
-//! promise rests on it.
+//! At each tick a box probes a constant number of others, in rotation, and sends each a constant number of updates,
+//! so its cost doesn't grow with the number of boxes. Membership is a hint only: a box that is wrongly considered
+//! dead loses traffic, but no guarantee depends on it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,14 +11,14 @@
 
 use crate::Moment;
 
-/// Boxes probed at each tick.
+/// Number of boxes that are probed at each tick.
 pub const PROBES_PER_TICK: usize = 1;
-/// Heartbeats in each probe.
+/// Number of other boxes whose state is sent with each probe.
 pub const UPDATES_PER_PROBE: usize = 2;
-/// Failed probes in a row after which a box is taken for dead.
-const FAILURES: u32 = 2;
-/// Time after which a dead box is forgotten.
-const FORGET: Duration = Duration::from_secs(120);
+/// Consecutive failed probes after which a box is considered dead.
+const FAILURE_THRESHOLD: u32 = 2;
+/// Time since its last heartbeat after which a dead box is removed.
+const DEAD_RETENTION: Duration = Duration::from_secs(120);
 
 /// State of a box as others see it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -32,135 +31,136 @@
     pub peer_address: String,
     /// Address of its admin port.
     pub admin_address: String,
-    /// Heartbeat; the box raises it, and a restart raises it far.
+    /// Heartbeat counter, which only the box itself increments; after a restart it continues at a far higher value.
     pub heartbeat: u64,
     /// Whether it is stopping.
     pub stopping: bool,
-    /// Revision of the tree that it has in force.
+    /// Revision of the configuration tree that is in force there.
     pub revision: id::Revision,
 }
 
 #[derive(Clone, Debug)]
-struct Seen {
+struct Peer {
     member: Member,
     last_seen: Moment,
     failures: u32,
 }
 
-/// The boxes as one box sees them.
+/// Membership as peer by one box.
 #[derive(Clone, Debug)]
 pub struct Members {
     local: Member,
-    others: BTreeMap<id::Box, Seen>,
-    turn: usize,
+    others: BTreeMap<id::Box, Peer>,
+    cursor: usize,
 }
 
-/// What hearing of a box changed.
+/// Change of a box's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing.
+    /// No change.
     None,
-    /// A box is alive that was unknown or taken for dead.
+    /// A box that was unknown or considered dead is alive.
     Found,
-    /// A box is taken for dead from now on.
+    /// A box is considered dead from now on.
     Lost,
 }
 
 impl Members {
-    /// A view that knows only the box itself.
+    /// Creates a membership that contains only the box itself.
     pub fn new(local: Member) -> Self {
         Self {
             local,
             others: BTreeMap::new(),
-            turn: 0,
+            cursor: 0,
         }
     }
 
-    /// The box itself as others see it.
+    /// Returns the state of the box itself, as others see it.
     pub fn local(&self) -> &Member {
         &self.local
     }
 
-    /// Raises the own heartbeat and sets the state that is sent with it.
+    /// Increments the own heartbeat and sets the state that is sent with it.
     pub fn advance_heartbeat(&mut self, revision: id::Revision, stopping: bool) {
         self.local.heartbeat += 1;
         self.local.revision = revision;
         self.local.stopping = stopping;
     }
 
-    /// Merges the state of a box. Only a newer heartbeat counts.
+    /// Merges the state of a box; one without a newer heartbeat is ignored.
     pub fn merge(&mut self, member: Member, now: Moment) -> Change {
         if member.id == self.local.id || member.id.is_empty() {
             return Change::None;
         }
         match self.others.get_mut(&member.id) {
-            Some(seen) if seen.member.heartbeat >= member.heartbeat => Change::None,
-            Some(seen) => {
-                let was_dead = seen.failures >= FAILURES;
-                seen.member = member;
-                seen.last_seen = now;
-                seen.failures = 0;
+            Some(peer) if peer.member.heartbeat >= member.heartbeat => Change::None,
+            Some(peer) => {
+                let was_dead = peer.failures >= FAILURE_THRESHOLD;
+                peer.member = member;
+                peer.last_seen = now;
+                peer.failures = 0;
                 if was_dead { Change::Found } else { Change::None }
             }
             None => {
-                let seen = Seen {
+                let peer = Peer {
                     member: member.clone(),
                     last_seen: now,
                     failures: 0,
                 };
-                self.others.insert(member.id, seen);
+                self.others.insert(member.id, peer);
                 Change::Found
             }
         }
     }
 
-    /// Notes that a box did not answer.
+    /// Notes that a box did not respond to a probe.
     pub fn note_failure(&mut self, id: &str) -> Change {
-        let Some(seen) = self.others.get_mut(id) else {
+        let Some(peer) = self.others.get_mut(id) else {
             return Change::None;
         };
-        seen.failures = seen.failures.saturating_add(1);
-        if seen.failures == FAILURES {
+        peer.failures = peer.failures.saturating_add(1);
+        if peer.failures == FAILURE_THRESHOLD {
             Change::Lost
         } else {
             Change::None
         }
     }
 
-    /// Boxes to probe at this tick; dead ones too, so that they are found again.
+    /// Returns the boxes to probe at this tick; dead ones are included, so that their return is detected.
     pub fn next_probes(&mut self, now: Moment) -> Vec<Member> {
-        self.others
-            .retain(|_, s| s.failures < FAILURES || now.saturating_sub(s.last_seen) < FORGET);
+        self.others.retain(|_, peer| {
+            peer.failures < FAILURE_THRESHOLD || now.saturating_sub(peer.last_seen) < DEAD_RETENTION
+        });
         self.next(PROBES_PER_TICK, |_| true)
     }
 
-    /// Returns the updates for a probe.
+    /// Returns the states of other live boxes to send with a probe.
     pub fn next_updates(&mut self) -> Vec<Member> {
-        self.next(UPDATES_PER_PROBE, |s| s.failures < FAILURES)
+        self.next(UPDATES_PER_PROBE, |peer| peer.failures < FAILURE_THRESHOLD)
     }
 
-    /// Boxes taken for alive, the box itself not among them.
+    /// Returns the other boxes that are considered alive.
     pub fn alive(&self) -> impl Iterator<Item = &Member> {
         self.others
             .values()
-            .filter(|s| s.failures < FAILURES)
-            .map(|s| &s.member)
+            .filter(|peer| peer.failures < FAILURE_THRESHOLD)
+            .map(|peer| &peer.member)
     }
 
-    /// Boxes alive and not stopping in a hall, the box itself counted.
+    /// Returns the number of boxes of a hall that are alive and not stopping, including the box itself.
     pub fn serving_in(&self, hall: &str) -> u32 {
         let others = self.alive().filter(|m| m.hall == hall && !m.stopping).count();
-        let me = usize::from(self.local.hall == hall && !self.local.stopping);
-        u32::try_from(others + me).unwrap_or(u32::MAX)
+        let own = usize::from(self.local.hall == hall && !self.local.stopping);
+        u32::try_from(others + own).unwrap_or(u32::MAX)
     }
 
-    fn next(&mut self, count: usize, wanted: impl Fn(&Seen) -> bool) -> Vec<Member> {
-        let all: Vec<&Seen> = self.others.values().filter(|s| wanted(s)).collect();
+    fn next(&mut self, count: usize, wanted: impl Fn(&Peer) -> bool) -> Vec<Member> {
+        let all: Vec<&Peer> = self.others.values().filter(|peer| wanted(peer)).collect();
         let count = count.min(all.len());
         let picked = (0..count)
-            .map(|k| all[(self.turn + k) % all.len()].member.clone())
+            .map(|offset| all[(self.cursor + offset) % all.len()].member.clone())
             .collect();
-        self.turn = self.turn.wrapping_add(count.max(1));
+        self.cursor = self.cursor.wrapping_add(count.max(1));
         picked
     }
 }
--- a/crates/jb-policy/src/outage.rs
+++ b/crates/jb-policy/src/outage.rs
@@ -1,41 +1,41 @@
-//! Whether the platform's store was down while a box had no connection to it, or only this box was
-//! partitioned.
+//! Distinguishes an outage of the platform's store from a partition of this box.
 //!
-//! Entries of upstreams may lapse in an outage of the store and come back after it. They never do so
-//! because one box is cut off: an entry that is missing after a cut is gone. So it takes evidence that
-//! the store was away to go on with an upstream whose entry is missing; what is not known counts
-//! against it, as a request that reaches an engine after its time breaks a promise, while an engine
-//! that is taken off too early is back within seconds.
+//! During an outage of the store, registrations of upstreams may expire and return after it. A partition of one box
+//! doesn't make registrations expire, so an upstream that is missing after a partition has deregistered. A box
+//! therefore keeps an upstream whose registration is missing only with evidence that the store was unavailable;
+//! where that is unknown it removes the upstream. The error costs differ: a request that reaches an engine after
+//! its deregistration breaks a guarantee, while an engine that is removed too early is back within seconds.
 
 use std::time::Duration;
 
 use crate::Moment;
 
-/// Heartbeats of upstreams for which the store may be silent without an entry lapsing: an entry goes
-/// after three, the last one before the silence may be one old, and a quarter is left for the way.
-const HARMLESS: f64 = 1.75;
+/// Silence of the store, in heartbeat intervals of upstreams, in which no registration expires: a registration
+/// expires after three intervals, its last heartbeat may be one interval old when the silence starts, and a quarter
+/// is reserved for the network delay.
+const TOLERATED_HEARTBEATS: f64 = 1.75;
 
-/// Silence of the store in which no entry lapses, by the pause between two heartbeats of an upstream.
+/// Returns the longest silence of the store in which no registration expires, by the heartbeat interval of upstreams.
 pub fn tolerated_silence(heartbeat: Duration) -> Duration {
-    heartbeat.mul_f64(HARMLESS)
+    heartbeat.mul_f64(TOLERATED_HEARTBEATS)
 }
 
-/// Span of time by the clock of this box.
+/// Time span on the clock of this box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Span {
-    /// Begin.
+    /// Start.
     pub from: Moment,
     /// End.
     pub until: Moment,
 }
 
 impl Span {
-    /// Length.
+    /// Returns the length of the span.
     pub fn length(&self) -> Duration {
         self.until.saturating_sub(self.from)
     }
 
-    /// The span of one moment.
+    /// Returns a span of zero length.
     pub fn at(moment: Moment) -> Self {
         Self {
             from: moment,
@@ -43,14 +43,15 @@
         }
     }
 
-    /// The span in which the store answered, with one more in which it did: their union where no
-    /// more than a silence that costs no entry lies between, and the later one otherwise. The store
-    /// closes its connections when it forgets its history; and a box that was cut off learns from the
-    /// others that the store was there all the while.
-    pub fn join(known: Option<Self>, other: Self, harmless: Duration) -> Self {
+    /// Joins two spans in which the store responded: their union if no more than the tolerated silence lies
+    /// between them, and the later one otherwise.
+    ///
+    /// Short gaps occur without an outage, since the store closes its connections when it drops its history, and a
+    /// box that was partitioned learns from other boxes that the store was available throughout.
+    pub fn join(known: Option<Self>, other: Self, tolerated: Duration) -> Self {
         let Some(known) = known else { return other };
-        let meet = other.from <= known.until + harmless && known.from <= other.until + harmless;
-        if meet {
+        let overlap = other.from <= known.until + tolerated && known.from <= other.until + tolerated;
+        if overlap {
             return Self {
                 from: known.from.min(other.from),
                 until: known.until.max(other.until),
@@ -60,26 +61,28 @@
     }
 }
 
-/// What is known of the store in a time of which a box saw nothing.
+/// Availability of the store during a partition of this box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It answered some box all the while.
+    /// It responded to other boxes throughout.
     Available,
-    /// It answered no box for longer than costs no entry, and answers again.
+    /// It responded to no box for longer than the tolerated silence, and responds again.
     Unavailable,
-    /// No box that has reached it lately is reachable.
+    /// No reachable box has recently received a response from it.
     Unknown,
 }
 
-/// Judges by the span in which the store has answered this box or others, up to this box's latest answer, and by
-/// the spans of the boxes that are reachable now. A box that is itself partitioned shows nothing about the
-/// store.
-pub fn classify(partition: Span, seen: Span, others: &[Span], harmless: Duration) -> Availability {
-    if seen.from <= partition.from + harmless {
+/// Returns the availability of the store during `partition`.
+///
+/// `seen` is the joined span in which the store responded to this box or others, up to this box's latest response;
+/// `others` are the spans of the boxes that are reachable now. A box that is partitioned itself proves nothing
+/// about the store.
+pub fn classify(partition: Span, seen: Span, others: &[Span], tolerated: Duration) -> Availability {
+    if seen.from <= partition.from + tolerated {
         return Availability::Available;
     }
-    let sees_it = |span: &Span| span.until + harmless >= partition.until;
-    if others.iter().any(sees_it) {
+    let reaches_store = |span: &Span| span.until + tolerated >= partition.until;
+    if others.iter().any(reaches_store) {
         Availability::Unavailable
     } else {
         Availability::Unknown
--- a/crates/jb-policy/src/prefix.rs
+++ b/crates/jb-policy/src/prefix.rs
@@ -1,26 +1,25 @@
-//! Identity of a prompt's prefixes.
+//! Hashes of a prompt's prefixes.
 //!
-//! A prompt is cut into blocks, and each block's hash covers all blocks
-//! before it. The first hash is seeded with the customer, the model and the
-//! weights version, so another customer's entry, or one of older weights,
-//! has another name and cannot be found by mistake.
+//! A prompt is divided into blocks, and the hash of each block covers all blocks before it. The first hash is seeded
+//! with the customer, the model and the weights version, so cached state of another customer or other weights has
+//! another hash and can't be matched by mistake.
 
 use jb_protocol::token::{self, BYTES_PER_BLOCK, TOKENS_PER_BLOCK};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Blocks between two prefixes inside a level.
-const BLOCKS_PER_MARK: usize = 8;
-/// Level whose end names the root: the house style.
+/// Number of blocks between two indexed prefixes inside a level.
+const BLOCKS_PER_PREFIX: usize = 8;
+/// Level at whose end the root prefix ends: the house style.
 const ROOT_LEVEL: usize = 0;
-/// Level whose end names the family: the tenant's template.
+/// Level at whose end the family prefix ends: the tenant's template.
 const FAMILY_LEVEL: usize = 1;
-/// Tokens that name root and family of a prompt without levels.
+/// Length in tokens of the root and family prefixes of a prompt without levels.
 const FAMILY_TOKENS: u32 = 512;
 
 /// Hash of a prefix.
 pub type Hash = u64;
 
-/// A prefix at which cached state is remembered.
+/// A prefix for which cached state is indexed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Prefix {
     /// Hash of the prefix.
@@ -29,7 +28,7 @@
     pub tokens: u32,
 }
 
-/// What separates the prefixes of different owners.
+/// Scope within which equal prefixes share cached state.
 #[derive(Clone, Copy, Debug)]
 pub struct Scope<'a> {
     /// Customer.
@@ -41,7 +40,7 @@
 }
 
 impl Scope<'_> {
-    /// Seed of the first block's hash.
+    /// Returns the seed of the first block's hash.
     pub fn seed(&self) -> Hash {
         let mut text = Vec::new();
         for part in [self.customer, self.model, self.weights] {
@@ -51,37 +50,35 @@
         xxh3_64(&text)
     }
 
-    /// The seed as the salt of the engines' caches.
+    /// Returns the seed in the form of the cache salt that engines accept.
     pub fn salt(&self) -> String {
         format!("{:016x}", self.seed())
     }
 }
 
-/// The prefixes of one prompt.
+/// Indexed prefixes of one prompt.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Chain {
-    /// Marks, the shortest first.
+    /// Prefixes, the shortest first.
     pub prefixes: Vec<Prefix>,
     /// Length of the whole prompt in tokens.
     pub tokens: u32,
-    /// The outermost shared prefix; it decides where a prompt goes of which
-    /// nothing is known to be cached anywhere.
+    /// Outermost shared prefix; it determines the engine of a prompt that isn't known to be cached anywhere.
     pub root: Prefix,
-    /// The prefix that moves as a whole in a migration, and that decides
-    /// between engines that cost about the same.
+    /// Prefix that is migrated as a whole, and that determines the engine among those with similar costs.
     pub family: Prefix,
 }
 
 impl Chain {
-    /// Hashes a prompt given as its nested levels, the outermost first.
+    /// Hashes a prompt that is given as nested levels, the outermost first.
     pub fn new(scope: &Scope<'_>, levels: &[String]) -> Self {
         let seed = scope.seed();
         let text: String = levels.concat();
         let hashes = hash_blocks(seed, text.as_bytes());
         let ends = level_ends(levels);
-        let prefixes = place_marks(&hashes, &ends);
-        let root = end_of(ROOT_LEVEL, seed, &prefixes, &ends);
-        let family = end_of(FAMILY_LEVEL, seed, &prefixes, &ends);
+        let prefixes = select_prefixes(&hashes, &ends);
+        let root = prefix_at_level(ROOT_LEVEL, seed, &prefixes, &ends);
+        let family = prefix_at_level(FAMILY_LEVEL, seed, &prefixes, &ends);
         Self {
             prefixes,
             tokens: token::count(text.len()),
@@ -100,8 +97,8 @@
         .collect()
 }
 
-/// Number of whole blocks before the end of each level but the last, which
-/// belongs to one request alone.
+/// Returns the number of whole blocks before the end of each level except the last, which is not shared between
+/// requests.
 fn level_ends(levels: &[String]) -> Vec<usize> {
     let shared = levels.len().saturating_sub(1);
     levels[..shared]
@@ -113,17 +110,17 @@
         .collect()
 }
 
-fn place_marks(hashes: &[Hash], ends: &[usize]) -> Vec<Prefix> {
-    let wanted = |blocks: usize| {
-        blocks.is_multiple_of(BLOCKS_PER_MARK) || blocks == hashes.len() || ends.contains(&blocks)
+fn select_prefixes(hashes: &[Hash], ends: &[usize]) -> Vec<Prefix> {
+    let is_indexed = |blocks: usize| {
+        blocks.is_multiple_of(BLOCKS_PER_PREFIX) || blocks == hashes.len() || ends.contains(&blocks)
     };
     (1..=hashes.len())
-        .filter(|blocks| wanted(*blocks))
-        .map(|blocks| mark(hashes[blocks - 1], blocks))
+        .filter(|blocks| is_indexed(*blocks))
+        .map(|blocks| prefix(hashes[blocks - 1], blocks))
         .collect()
 }
 
-fn mark(hash: Hash, blocks: usize) -> Prefix {
+fn prefix(hash: Hash, blocks: usize) -> Prefix {
     Prefix {
         hash,
         tokens: u32::try_from(blocks)
@@ -132,13 +129,13 @@
     }
 }
 
-/// The last mark before the end of a level, or of the last shared level.
-fn end_of(level: usize, seed: Hash, prefixes: &[Prefix], ends: &[usize]) -> Prefix {
+/// Returns the longest prefix that ends within a level, or within the last shared level if there are fewer.
+fn prefix_at_level(level: usize, seed: Hash, prefixes: &[Prefix], ends: &[usize]) -> Prefix {
     let tokens = match ends.get(level).or(ends.last()) {
-        Some(blocks) if *blocks > 0 => mark(0, *blocks).tokens,
+        Some(blocks) if *blocks > 0 => prefix(0, *blocks).tokens,
         _ => FAMILY_TOKENS,
     };
-    let end = prefixes.iter().rev().find(|m| m.tokens <= tokens);
+    let end = prefixes.iter().rev().find(|prefix| prefix.tokens <= tokens);
     end.or(prefixes.first()).copied().unwrap_or(Prefix {
         hash: seed,
         tokens: 0,
--- a/crates/jb-policy/src/stream.rs
+++ b/crates/jb-policy/src/stream.rs
@@ -1,98 +1,98 @@
-//! Check of an engine's answer, frame by frame.
+//! Validation of an engine's response stream, frame by frame.
 //!
-//! Only frames of the own attempt count. Indexes must follow each other
-//! without a gap, and only an explicit end with the right count ends it.
+//! Frames of other attempts are dropped. Token indexes must be consecutive, and only an explicit end frame with the
+//! correct count completes the response.
 
 use jb_protocol::engine::{Frame, Load};
 use jb_protocol::id;
 
-/// What one frame means.
+/// Result of one frame.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The prompt was processed.
+    /// The engine has processed the prompt.
     Started(Start),
-    /// The next token, to be delivered.
+    /// Text of the next token to deliver.
     Token(String),
-    /// The answer is complete.
+    /// The response is complete, with its finish reason.
     Ended(String),
-    /// A frame of another attempt, or one that was delivered before.
+    /// The frame belongs to another attempt, or its token was delivered before.
     Dropped,
-    /// The frame breaks the protocol; the attempt has failed.
+    /// The frame violates the protocol; the attempt has failed.
     Invalid(Violation),
 }
 
-/// The facts of a started answer.
+/// Content of the start frame.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Start {
-    /// Incarnation that answers.
+    /// Incarnation of the responding engine.
     pub incarnation: id::Incarnation,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Tokens found in the cache.
+    /// Number of prompt tokens that were found in the engine's cache.
     pub cached_tokens: u32,
-    /// Work waiting at the engine.
+    /// Load of the engine.
     pub load: Load,
 }
 
-/// How a frame broke the protocol.
+/// Protocol violation by a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
-    /// A token or end came before the start.
-    #[error("a frame came before the start")]
+    /// A token or end frame arrived before the start frame.
+    #[error("token or end frame received before the start frame")]
     NotStarted,
-    /// The answer started twice.
-    #[error("the answer started twice")]
+    /// A second start frame arrived.
+    #[error("second start frame received")]
     StartedTwice,
-    /// Weights other than those asked for.
-    #[error("the engine runs other weights")]
+    /// The engine runs other weights than the requested ones.
+    #[error("engine runs other weights than requested")]
     WrongWeights,
-    /// An index that leaves a gap.
-    #[error("index {got} came where {expected} was due")]
+    /// A token index leaves a gap.
+    #[error("token index {got} received instead of {expected}")]
     Gap {
-        /// The index due.
+        /// Index that was expected.
         expected: u32,
-        /// The index that came.
+        /// Index that was received.
         got: u32,
     },
-    /// The end does not match what was delivered.
-    #[error("the end counts {counted} tokens, {delivered} were delivered")]
+    /// The end frame's count differs from the number of delivered tokens.
+    #[error("end frame counts {counted} tokens, {delivered} were delivered")]
     WrongCount {
         /// Count in the end frame.
         counted: u32,
-        /// Tokens delivered.
+        /// Number of delivered tokens.
         delivered: u32,
     },
-    /// A count that cannot be.
-    #[error("more tokens are cached than the prompt has")]
+    /// The start frame counts more cached tokens than the prompt has.
+    #[error("start frame counts more cached tokens than prompt tokens")]
     CachedExceedsPrompt,
 }
 
-/// Reader of one attempt's frames.
+/// Validator of one attempt's frames.
 #[derive(Clone, Debug)]
 pub struct Reader {
     attempt: id::Attempt,
     weights: id::Weights,
     started: bool,
-    next: u32,
+    next_index: u32,
 }
 
 impl Reader {
-    /// Reads an attempt whose first wanted index is `resume_at`.
+    /// Creates a reader for an attempt whose first token to deliver has the index `resume_at`.
     pub fn new(attempt: id::Attempt, weights: id::Weights, resume_at: u32) -> Self {
         Self {
             attempt,
             weights,
             started: false,
-            next: resume_at,
+            next_index: resume_at,
         }
     }
 
-    /// The index due next.
+    /// Returns the index of the next token to deliver.
     pub fn next_index(&self) -> u32 {
-        self.next
+        self.next_index
     }
 
-    /// Takes one frame.
+    /// Validates one frame and updates the state.
     pub fn accept(&mut self, frame: Frame) -> Event {
         if frame.attempt() != self.attempt {
             return Event::Dropped;
@@ -139,16 +139,16 @@
         if !self.started {
             return Event::Invalid(Violation::NotStarted);
         }
-        if index < self.next {
+        if index < self.next_index {
             return Event::Dropped;
         }
-        if index > self.next {
+        if index > self.next_index {
             return Event::Invalid(Violation::Gap {
-                expected: self.next,
+                expected: self.next_index,
                 got: index,
             });
         }
-        self.next += 1;
+        self.next_index += 1;
         Event::Token(text)
     }
 
@@ -156,10 +156,10 @@
         if !self.started {
             return Event::Invalid(Violation::NotStarted);
         }
-        if counted != self.next {
+        if counted != self.next_index {
             return Event::Invalid(Violation::WrongCount {
                 counted,
-                delivered: self.next,
+                delivered: self.next_index,
             });
         }
         Event::Ended(finish_reason)
--- a/crates/jb-policy/tests/outage.rs
+++ b/crates/jb-policy/tests/outage.rs
@@ -1,4 +1,4 @@
-//! Whose outage it was: the store's, or that of one box.
+//! Distinction of an outage of the store from a partition of one box.
 
 use std::time::Duration;
 
@@ -16,36 +16,37 @@
     }
 }
 
-const BLIND: Span = span(10_000, 21_000);
+/// Time in which the box under test was partitioned.
+const PARTITION: Span = span(10_000, 21_000);
 
-/// By heartbeats of 1.2 s.
-const HARMLESS: Duration = ms(2100);
+/// Tolerated silence at a heartbeat interval of 1.2 s.
+const TOLERATED: Duration = ms(2100);
 
-/// Judges as a box does that has its own answer at the end of its cut, and what others told; each
-/// tells again and again.
-fn classify(told: &[Span]) -> Availability {
-    let own = Span::at(BLIND.until);
-    let twice = told.iter().chain(told);
+/// Classifies as a box whose own first response came at the end of its partition, with spans that others sent, each
+/// of them twice.
+fn classify(received: &[Span]) -> Availability {
+    let own = Span::at(PARTITION.until);
+    let twice = received.iter().chain(received);
     let seen = twice.fold(own, |seen, span| join(Some(seen), *span));
-    outage::classify(BLIND, seen, told, outage::tolerated_silence(ms(1200)))
+    outage::classify(PARTITION, seen, received, outage::tolerated_silence(ms(1200)))
 }
 
 fn join(known: Option<Span>, other: Span) -> Span {
-    Span::join(known, other, HARMLESS)
+    Span::join(known, other, TOLERATED)
 }
 
-/// All other boxes had lost their connections for 0.4 s within the eleven seconds of the cut, and a
-/// box took the engines that had left meanwhile for such whose entries had lapsed.
+/// Guards against taking a loss of all other boxes' connections for 0.4 s during a partition of 11 s for an outage of
+/// the store, by which a box kept engines that had deregistered as if their registrations had expired.
 #[test]
-fn short_loss_of_connections_is_no_outage_of_the_store() {
+fn short_connection_loss_of_the_other_boxes_is_not_an_outage() {
     let before = join(Some(span(1_000, 15_000)), Span::at(ms(15_420)));
     assert_eq!(before, span(1_000, 15_420));
     assert_eq!(classify(&[span(1_000, 20_500)]), Availability::Available);
 }
 
-/// Several boxes, none of which was served all the while, know together that the store was there.
+/// No single box received responses throughout, but together they show that the store was available.
 #[test]
-fn spans_of_several_boxes_count_together() {
+fn spans_of_several_boxes_are_joined() {
     assert_eq!(
         classify(&[span(14_000, 20_500), span(2_000, 13_000)]),
         Availability::Available
@@ -56,25 +57,24 @@
     );
 }
 
-/// The lead of a data hall had been cut off itself; its whole hall took the span that began at its
-/// return for the store's, and kept an engine that had left 3.4 s before. Leads tell each other, so
-/// its span is the one of all.
+/// Guards against a relay node that was partitioned and sends its hall a span that starts at its own return: the hall
+/// kept an engine that had deregistered 3.4 s before. Relay nodes exchange their spans, so it sends the joined one.
 #[test]
-fn lead_that_was_cut_off_tells_the_span_that_others_know() {
+fn partitioned_relay_node_sends_the_span_that_the_others_know() {
     let own = Span::at(ms(20_400));
-    let lead = join(Some(own), span(2_000, 20_100));
-    assert_eq!(lead, span(2_000, 20_400));
-    assert_eq!(classify(&[lead]), Availability::Available);
+    let relay_node = join(Some(own), span(2_000, 20_100));
+    assert_eq!(relay_node, span(2_000, 20_400));
+    assert_eq!(classify(&[relay_node]), Availability::Available);
 }
 
-/// A box that is cut off has last heard of the store before: that is no sign that the store is away.
+/// The last response to a box that is still partitioned is old, which doesn't show that the store was unavailable.
 #[test]
-fn box_that_is_cut_off_itself_tells_nothing_of_the_store() {
+fn span_of_a_partitioned_box_proves_nothing_about_the_store() {
     assert_eq!(classify(&[span(2_000, 10_100)]), Availability::Unknown);
 }
 
 #[test]
-fn store_that_answered_nobody_and_is_back_was_away() {
+fn store_that_responded_to_no_box_and_is_back_was_unavailable() {
     assert_eq!(classify(&[span(20_400, 20_900)]), Availability::Unavailable);
     assert_eq!(
         classify(&[span(20_400, 20_900), span(2_000, 10_100)]),
@@ -85,52 +85,52 @@
 }
 
 #[test]
-fn box_that_hears_nobody_knows_nothing() {
+fn availability_is_unknown_without_reachable_boxes() {
     assert_eq!(classify(&[]), Availability::Unknown);
 }
 
-/// Whatever boxes saw, and whoever told whom, a store that was away for longer than costs no entry is
-/// never taken to have answered, and one that was away for less is never taken to have been away.
+/// Whatever spans the boxes have and exchange, an outage longer than the tolerated silence is never classified as
+/// available, and a shorter one never as unavailable.
 #[test]
-fn no_mix_of_spans_hides_an_outage_or_makes_one() {
-    fn holds(begins: Vec<u16>, cuts: Vec<(u16, u16)>, away: u16, length: u16) -> TestResult {
-        if begins.is_empty() {
+fn no_combination_of_spans_hides_or_invents_an_outage() {
+    fn holds(starts: Vec<u16>, partitions: Vec<(u16, u16)>, down_for: u16, length: u16) -> TestResult {
+        if starts.is_empty() {
             return TestResult::discard();
         }
-        // The store is away from `down` to `up`; boxes ask it every 700 ms, each from its own start,
-        // and some are cut off for a time of their own.
-        let (down, up) = (ms(30_000), ms(30_000 + u64::from(away % 8_000)));
+        // The store is unavailable from `down` to `up`. Boxes call it every 700 ms, each from its own start, and
+        // some are partitioned for a time of their own.
+        let (down, up) = (ms(30_000), ms(30_000 + u64::from(down_for % 8_000)));
         let now = up + ms(1_500 + u64::from(length % 2_000));
-        let answers = |begin: u64, cut: Option<&(u16, u16)>| {
-            let cut = cut.map(|(at, lasts)| {
+        let answers = |start: u64, partition: Option<&(u16, u16)>| {
+            let partition = partition.map(|(at, lasts)| {
                 let from = ms(22_000 + u64::from(at % 10_000));
                 (from, from + ms(u64::from(lasts % 9_000)))
             });
-            let asked = (0..).map(move |turn| ms(begin + 700 * turn));
-            let there = asked
+            let called = (0..).map(move |turn| ms(start + 700 * turn));
+            let answered = called
                 .take_while(move |at| *at < now)
                 .filter(move |at| *at < down || *at >= up);
-            there.filter(move |at| cut.is_none_or(|(from, until)| *at < from || *at >= until))
+            answered.filter(move |at| partition.is_none_or(|(from, until)| *at < from || *at >= until))
         };
-        let seen = |(at, begin): (usize, &u16)| {
-            // The first box is never cut off.
-            let cut = at.checked_sub(1).and_then(|at| cuts.get(at));
-            let all = answers(u64::from(*begin % 20_000), cut);
+        let span_of = |(at, start): (usize, &u16)| {
+            // The first box is never partitioned.
+            let partition = at.checked_sub(1).and_then(|at| partitions.get(at));
+            let all = answers(u64::from(*start % 20_000), partition);
             all.fold(None, |span, at| Some(join(span, Span::at(at))))
         };
-        let told: Vec<Span> = begins.iter().enumerate().filter_map(seen).collect();
-        let blind = Span {
+        let received: Vec<Span> = starts.iter().enumerate().filter_map(span_of).collect();
+        let partition = Span {
             from: ms(29_000),
             until: now,
         };
-        let known = told
+        let known = received
             .iter()
             .fold(Span::at(now), |seen, span| join(Some(seen), *span));
         let silence = up.saturating_sub(down);
-        match outage::classify(blind, known, &told, HARMLESS) {
-            Availability::Available => TestResult::from_bool(silence <= HARMLESS),
-            // Two calls that frame the outage are up to two pauses further apart.
-            Availability::Unavailable => TestResult::from_bool(silence + ms(1_400) > HARMLESS),
+        match outage::classify(partition, known, &received, TOLERATED) {
+            Availability::Available => TestResult::from_bool(silence <= TOLERATED),
+            // The calls before and after the outage are up to two intervals further apart than its length.
+            Availability::Unavailable => TestResult::from_bool(silence + ms(1_400) > TOLERATED),
             Availability::Unknown => TestResult::failed(),
         }
     }
--- a/crates/jb-policy/tests/signal.rs
+++ b/crates/jb-policy/tests/signal.rs
@@ -1,4 +1,4 @@
-//! What upstreams say of themselves, in whatever order it comes.
+//! Effects of upstreams' signals: draining and backoff.
 
 #![allow(clippy::expect_used)]
 
@@ -15,32 +15,32 @@
 
 const NOW: Moment = Duration::from_secs(100);
 
-fn asks_for(rest: Duration) -> Signals {
+fn backoff_of(requested: Duration) -> Signals {
     Signals {
-        retry_after: Some(rest),
+        retry_after: Some(requested),
         ..Signals::default()
     }
 }
 
 #[test]
-fn rest_lasts_as_long_as_the_longest_that_was_asked_for_whatever_else_is_heard() {
-    /// Milliseconds after the begin, and what was asked for, if anything.
-    fn holds(heard: Vec<(u16, Option<u16>)>) -> bool {
-        let mut heard = heard;
-        heard.sort_unstable();
-        let mut rest = Backoff::default();
+fn backoff_lasts_as_long_as_the_longest_requested_one_whatever_other_signals_arrive() {
+    /// `responses` are the milliseconds after the start and the requested backoff in milliseconds, if any.
+    fn holds(responses: Vec<(u16, Option<u16>)>) -> bool {
+        let mut responses = responses;
+        responses.sort_unstable();
+        let mut backoff = Backoff::default();
         let mut longest = Moment::ZERO;
-        heard.iter().all(|&(at, asked)| {
+        responses.iter().all(|&(at, requested)| {
             let at = NOW + Duration::from_millis(at.into());
-            let asked = asked.map(|asked| Duration::from_millis(asked.into()));
+            let requested = requested.map(|requested| Duration::from_millis(requested.into()));
             let signals = Signals {
-                retry_after: asked,
+                retry_after: requested,
                 ..Signals::default()
             };
-            let new = rest.observe(signals, 4, at);
-            longest = longest.max(asked.map_or(Moment::ZERO, |asked| at + asked));
-            let told = new.is_none_or(|until| asked.is_some() && until == rest.until());
-            rest.until() >= longest && told
+            let new = backoff.observe(signals, 4, at);
+            longest = longest.max(requested.map_or(Moment::ZERO, |requested| at + requested));
+            let is_reported = new.is_none_or(|until| requested.is_some() && until == backoff.until());
+            backoff.until() >= longest && is_reported
         })
     }
     QuickCheck::new()
@@ -50,31 +50,31 @@
 }
 
 #[test]
-fn answer_that_turns_nothing_away_and_asks_for_nothing_changes_nothing() {
-    let mut rest = Backoff::default();
-    rest.observe(asks_for(Duration::from_secs(3)), 1, NOW);
-    let before = rest;
+fn response_without_signals_leaves_the_backoff_unchanged() {
+    let mut backoff = Backoff::default();
+    backoff.observe(backoff_of(Duration::from_secs(3)), 1, NOW);
+    let before = backoff;
     assert_eq!(
-        rest.observe(Signals::default(), 1, NOW + Duration::from_secs(1)),
+        backoff.observe(Signals::default(), 1, NOW + Duration::from_secs(1)),
         None
     );
-    assert_eq!(rest, before);
-    assert!(rest.is_active(NOW + Duration::from_millis(2999)));
-    assert!(!rest.is_active(NOW + Duration::from_secs(3)));
+    assert_eq!(backoff, before);
+    assert!(backoff.is_active(NOW + Duration::from_millis(2999)));
+    assert!(!backoff.is_active(NOW + Duration::from_secs(3)));
 }
 
 #[test]
-fn rest_of_ages_lasts_an_hour() {
-    let mut rest = Backoff::default();
-    rest.observe(asks_for(Duration::MAX), 1, NOW);
-    assert_eq!(rest.until(), NOW + MAX_BACKOFF);
+fn backoff_is_limited_to_an_hour() {
+    let mut backoff = Backoff::default();
+    backoff.observe(backoff_of(Duration::MAX), 1, NOW);
+    assert_eq!(backoff.until(), NOW + MAX_BACKOFF);
 }
 
 fn upstream() -> Upstream {
     Upstream::new("engine-1".to_owned())
 }
 
-const LEAVES: Signals = Signals {
+const DRAINING: Signals = Signals {
     draining: true,
     retry_after: None,
     limit: Announcement::Unknown,
@@ -92,88 +92,90 @@
     }
 }
 
-/// A report says less than the answers, or was asked for before them.
+/// A report may be older than the responses, or incomplete.
 #[test]
-fn report_lifts_neither_a_leaving_nor_a_rest_and_a_new_life_starts_without_them() {
+fn report_ends_neither_draining_nor_backoff_but_a_new_incarnation_does() {
     let mut upstream = upstream();
     upstream.note_report(&report(1), "quill", "w1", NOW);
-    assert!(upstream.apply_signals(LEAVES, NOW, NOW).started_draining);
+    assert!(upstream.apply_signals(DRAINING, NOW, NOW).started_draining);
     assert!(
-        !upstream.apply_signals(LEAVES, NOW, NOW).started_draining,
-        "told once"
+        !upstream.apply_signals(DRAINING, NOW, NOW).started_draining,
+        "reported once"
     );
-    upstream.apply_signals(asks_for(Duration::from_secs(60)), NOW, NOW);
+    upstream.apply_signals(backoff_of(Duration::from_secs(60)), NOW, NOW);
     upstream.note_report(&report(1), "quill", "w1", NOW);
     assert!(!upstream.accepts_requests(NOW));
     assert!(
         !upstream.accepts_requests(NOW + Duration::from_secs(10_000)),
-        "it leaves"
+        "still draining"
     );
     upstream.note_report(&report(2), "quill", "w1", NOW);
     assert!(upstream.accepts_requests(NOW));
 }
 
-/// Its successor may have its name and address, and nothing else would show that.
+/// Without incarnations, nothing shows that a successor has the same name and address.
 #[test]
-fn upstream_without_lives_that_leaves_is_asked_again_after_ten_minutes() {
+fn draining_upstream_without_incarnations_accepts_requests_after_ten_minutes() {
     let mut upstream = upstream();
-    upstream.apply_signals(LEAVES, NOW, NOW);
+    upstream.apply_signals(DRAINING, NOW, NOW);
     assert!(!upstream.accepts_requests(NOW + Duration::from_secs(599)));
     assert!(upstream.accepts_requests(NOW + Duration::from_secs(600)));
 }
 
 #[test]
-fn upstream_that_rests_tells_when_it_is_back_and_one_that_leaves_does_not() {
+fn upstream_in_backoff_has_a_time_of_availability_and_a_draining_one_has_none() {
     let mut upstream = upstream();
-    upstream.apply_signals(asks_for(Duration::from_secs(3)), NOW, NOW);
+    upstream.apply_signals(backoff_of(Duration::from_secs(3)), NOW, NOW);
     assert!(!upstream.accepts_requests(NOW));
     assert_eq!(upstream.available_at(NOW), Some(NOW + Duration::from_secs(3)));
-    upstream.apply_signals(LEAVES, NOW, NOW);
+    upstream.apply_signals(DRAINING, NOW, NOW);
     assert_eq!(upstream.available_at(NOW), None);
 }
 
-/// Requests that waited for the end of a rest came all at once and were turned away again.
+/// Guards against requests that wait for the end of a backoff, arrive all at once and are rejected again.
 #[test]
-fn after_a_rest_less_is_let_there_than_had_been_too_much_and_a_little_more_each_time() {
-    let mut rest = Backoff::default();
+fn concurrency_after_a_backoff_starts_below_the_rejected_one_and_recovers_gradually() {
+    let mut backoff = Backoff::default();
     let over = NOW + Duration::from_secs(3);
-    assert!(!rest.blocks(1000, NOW), "nothing has been too much");
-    rest.observe(asks_for(Duration::from_secs(3)), 8, NOW);
-    // Others that were under way are turned away as well.
-    rest.observe(
-        asks_for(Duration::from_secs(2)),
+    assert!(!backoff.blocks(1000, NOW), "no concurrency was rejected yet");
+    backoff.observe(backoff_of(Duration::from_secs(3)), 8, NOW);
+    // Requests that were in flight are rejected as well.
+    backoff.observe(
+        backoff_of(Duration::from_secs(2)),
         7,
         NOW + Duration::from_millis(5),
     );
-    assert!(rest.blocks(0, over - Duration::from_millis(1)));
-    assert!(!rest.blocks(5, over));
-    assert!(rest.blocks(6, over));
-    assert!(!rest.blocks(6, over + RECOVERY_INTERVAL));
-    assert!(!rest.blocks(106, over + 101 * RECOVERY_INTERVAL));
-    rest.observe(asks_for(Duration::from_secs(3)), 1, over);
+    assert!(backoff.blocks(0, over - Duration::from_millis(1)));
+    assert!(!backoff.blocks(5, over));
+    assert!(backoff.blocks(6, over));
+    assert!(!backoff.blocks(6, over + RECOVERY_INTERVAL));
+    assert!(!backoff.blocks(106, over + 101 * RECOVERY_INTERVAL));
+    backoff.observe(backoff_of(Duration::from_secs(3)), 1, over);
     assert!(
-        !rest.blocks(0, over + Duration::from_secs(3)),
-        "one is always let there"
+        !backoff.blocks(0, over + Duration::from_secs(3)),
+        "one request is always allowed"
     );
 }
 
 #[test]
-fn operators_are_told_why_an_upstream_is_left_out_and_until_when() {
+fn obstacle_of_an_unavailable_upstream_is_reported_with_its_remaining_time() {
     let mut upstream = upstream();
     assert_eq!(upstream.left_out(NOW), None);
-    upstream.apply_signals(asks_for(Duration::from_secs(3)), NOW, NOW);
-    let backoff = upstream.left_out(NOW + Duration::from_secs(1)).expect("left out");
+    upstream.apply_signals(backoff_of(Duration::from_secs(3)), NOW, NOW);
+    let backoff = upstream
+        .left_out(NOW + Duration::from_secs(1))
+        .expect("unavailable");
     assert_eq!(
         (backoff.obstacle, backoff.for_ms),
         (Obstacle::Backoff, Some(2000))
     );
-    upstream.apply_signals(LEAVES, NOW, NOW);
-    let leaves = upstream.left_out(NOW).expect("left out");
+    upstream.apply_signals(DRAINING, NOW, NOW);
+    let draining = upstream.left_out(NOW).expect("unavailable");
     assert_eq!(
-        (leaves.obstacle, leaves.for_ms),
+        (draining.obstacle, draining.for_ms),
         (Obstacle::LeavesByAnswer, Some(600_000))
     );
     upstream.drain.by_tree = true;
-    let tree = upstream.left_out(NOW).expect("left out");
+    let tree = upstream.left_out(NOW).expect("unavailable");
     assert_eq!((tree.obstacle, tree.for_ms), (Obstacle::LeavesByTree, None));
 }
--- a/crates/jb-policy/tests/stream.rs
+++ b/crates/jb-policy/tests/stream.rs
@@ -1,5 +1,4 @@
-//! Streams: whatever an engine sends, the caller gets its tokens in order
-//! and without a gap, or the attempt has failed.
+//! Whatever frames an engine sends, the caller receives tokens in order and without a gap, or the attempt fails.
 
 use jb_policy::stream::{Event, Reader};
 use jb_protocol::engine::{Frame, Load};
@@ -35,7 +34,7 @@
     }
 }
 
-/// A frame that may be right, late, early, repeated or another attempt's.
+/// Returns a frame that may be valid, late, early, repeated or another attempt's.
 fn any_frame(kind: u8, number: u8) -> Frame {
     let attempt = if kind.is_multiple_of(5) { "other" } else { "own" };
     match kind % 4 {
@@ -46,7 +45,7 @@
 }
 
 #[test]
-fn tokens_are_delivered_in_order_without_gap_whatever_comes() {
+fn tokens_are_delivered_in_order_without_a_gap_for_any_frames() {
     for seed in 0..ROUNDS {
         let mut source = Gen::from_size_and_seed(200, seed);
         let noise = Vec::<(u8, u8)>::arbitrary(&mut source);
@@ -66,7 +65,7 @@
 }
 
 #[test]
-fn an_end_with_a_wrong_count_is_no_end() {
+fn end_frame_with_a_wrong_count_is_invalid() {
     let mut reader = Reader::new("own".to_owned(), "w1".to_owned(), 0);
     reader.accept(start("own"));
     reader.accept(token("own", 0));
@@ -74,7 +73,7 @@
 }
 
 #[test]
-fn a_resumed_stream_drops_what_was_delivered() {
+fn resumed_stream_drops_tokens_that_were_delivered() {
     let mut reader = Reader::new("own".to_owned(), "w1".to_owned(), 3);
     reader.accept(start("own"));
     assert_eq!(reader.accept(token("own", 2)), Event::Dropped);
@@ -82,7 +81,7 @@
 }
 
 #[test]
-fn other_weights_than_asked_for_break_the_answer() {
+fn start_frame_with_other_weights_than_requested_is_invalid() {
     let mut reader = Reader::new("own".to_owned(), "w2".to_owned(), 0);
     assert!(matches!(reader.accept(start("own")), Event::Invalid(_)));
 }
