--- a/crates/jb-policy/src/poison/evidence.rs
+++ b/crates/jb-policy/src/poison/evidence.rs
@@ -1,24 +1,24 @@
-//! Evidence on one request.
+//! Evidence on one request, by the engines that ran it.
 
 use std::collections::BTreeSet;
 
-/// Short name of an engine instance.
+/// Hash that identifies an engine instance.
 pub type EngineId = u32;
 
-/// Instances of one kind that are remembered of a request: more than any threshold, and few enough for a row
-/// of a datagram. Of more, all boxes remember the same ones.
+/// Maximum number of instances that are kept for each kind of evidence on a request: more than any threshold, and few
+/// enough for a row of a datagram. If there are more, all boxes keep the same ones.
 const MAX_INSTANCES: usize = 8;
-/// Ended engines of which a good run takes the weight: a request that ran well is no poison, and
-/// what else ended its engines has to end three more before it is suspected again.
-const ENDS_CLEARED_BY_RUN: usize = 3;
-/// Crashes under a request from which on it is suspected.
+/// Number of crashes that a completed run cancels out: a request that was completed isn't poison, and whatever
+/// else crashed its engines must crash three more before it is suspected again.
+const CRASHES_CLEARED_BY_COMPLETION: usize = 3;
+/// Number of crashes from which on a request is suspected.
 const SUSPICION_THRESHOLD: usize = 2;
-/// Crashes under a request from which on it is quarantined, one of them in an isolated trial.
+/// Number of crashes, at least one in an isolated trial, from which on a request is quarantined.
 const QUARANTINE_THRESHOLD: usize = 3;
-/// The same without an isolated trial.
+/// Number of crashes from which on a request is quarantined without an isolated trial.
 const SHARED_QUARANTINE_THRESHOLD: usize = 5;
 
-/// EngineId instances, those with the lowest names where there are too many.
+/// Set of engine instances, limited to those with the lowest ids.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Instances(BTreeSet<EngineId>);
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Evidence on one request. It only grows.
+/// Evidence on one request, which only accumulates.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evidence {
     crashed: Instances,
@@ -40,7 +40,7 @@
 }
 
 impl Evidence {
-    /// A crash while the engine ran the request; `isolated`: as the only suspect there.
+    /// Creates evidence of a crash while the engine ran the request; `isolated` if it was the only suspect there.
     pub fn from_crash(engine: EngineId, isolated: bool) -> Self {
         let mut evidence = Self::default();
         evidence.crashed.merge([engine]);
@@ -48,23 +48,23 @@
         evidence
     }
 
-    /// A completed run.
+    /// Creates evidence of a completed run.
     pub fn from_completion(engine: EngineId) -> Self {
         let mut evidence = Self::default();
         evidence.completed.merge([engine]);
         evidence
     }
 
-    /// Evidence from another box.
-    pub fn from_parts(ended: &[EngineId], isolated: &[EngineId], well: &[EngineId]) -> Self {
+    /// Creates evidence from the sets of engines that another box has sent.
+    pub fn from_parts(crashed: &[EngineId], isolated: &[EngineId], completed: &[EngineId]) -> Self {
         let mut evidence = Self::default();
-        evidence.crashed.merge(ended.iter().copied());
+        evidence.crashed.merge(crashed.iter().copied());
         evidence.isolated.merge(isolated.iter().copied());
-        evidence.completed.merge(well.iter().copied());
+        evidence.completed.merge(completed.iter().copied());
         evidence
     }
 
-    /// Merges other evidence; returns whether it adds anything.
+    /// Merges other evidence and returns whether it added anything.
     pub fn merge(&mut self, other: &Self) -> bool {
         let before = self.clone();
         self.crashed.merge(other.crashed.0.iter().copied());
@@ -73,42 +73,42 @@
         *self != before
     }
 
-    /// Engines that have crashed while they ran the request.
+    /// Returns the engines that crashed while they ran the request.
     pub fn crashed(&self) -> impl Iterator<Item = EngineId> {
         self.crashed.0.iter().copied()
     }
 
-    /// Those of them where it was the only suspect.
+    /// Returns the crashed engines where it was the only suspect.
     pub fn isolated(&self) -> impl Iterator<Item = EngineId> {
         self.isolated.0.iter().copied()
     }
 
-    /// Engines that have completed it.
+    /// Returns the engines that completed it.
     pub fn completed(&self) -> impl Iterator<Item = EngineId> {
         self.completed.0.iter().copied()
     }
 
-    /// Order in which crashes are attributed, where several requests may have caused them.
+    /// Returns the rank by which crashes are attributed if several requests may have caused them, the highest first.
     pub fn strength(&self) -> (usize, usize) {
         (self.weight(self.crashed.0.len()), self.isolated.0.len())
     }
 
-    fn weight(&self, ended: usize) -> usize {
-        ended.saturating_sub(ENDS_CLEARED_BY_RUN * self.completed.0.len())
+    fn weight(&self, crashed: usize) -> usize {
+        crashed.saturating_sub(CRASHES_CLEARED_BY_COMPLETION * self.completed.0.len())
     }
 
-    /// Returns whether the request is poison; `attributed` are crashes caused by other requests.
+    /// Returns whether the request is poison; `attributed` are the crashes caused by other requests.
     pub fn is_poison(&self, attributed: &BTreeSet<EngineId>) -> bool {
-        let alone = self.isolated.0.difference(attributed).next().is_some();
-        let enough = if alone {
+        let was_isolated = self.isolated.0.difference(attributed).next().is_some();
+        let threshold = if was_isolated {
             QUARANTINE_THRESHOLD
         } else {
             SHARED_QUARANTINE_THRESHOLD
         };
-        self.unattributed(attributed) >= enough
+        self.unattributed(attributed) >= threshold
     }
 
-    /// Returns whether the request is suspected; `attributed` are crashes caused by other requests.
+    /// Returns whether the request is suspected; `attributed` are the crashes caused by other requests.
     pub fn is_suspect(&self, attributed: &BTreeSet<EngineId>) -> bool {
         self.unattributed(attributed) >= SUSPICION_THRESHOLD
     }
--- a/crates/jb-policy/src/poison/fingerprint.rs
+++ b/crates/jb-policy/src/poison/fingerprint.rs
@@ -1,28 +1,28 @@
-//! What a request asks, by which its tries are known as the same request.
+//! Fingerprint by which repeated attempts are recognised as the same request.
 
 use sha2::{Digest as _, Sha256};
 
-/// Bytes of the hash, enough to avoid collisions.
-const CONTENT_BYTES: usize = 16;
+/// Length of the truncated hash in bytes, enough to avoid collisions.
+const FINGERPRINT_BYTES: usize = 16;
 
-/// What a request asks, whoever passes it on and under whatever id: its caller, its path and its body.
+/// Hash of a request's caller, path and body, which is independent of its id and of the boxes that forward it.
 ///
-/// It is a hash, so that no body is stored. The caller is a part of it, so that nobody can bring
-/// another caller's requests into suspicion.
+/// It is a hash, so that no body is stored. It includes the caller, so that no caller can make another one's requests
+/// suspect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint(pub u128);
 
 impl Fingerprint {
-    /// The content of a request; `path` in pieces, such as host and target.
+    /// Computes the fingerprint of a request; `path` consists of parts, such as host and target.
     pub fn new(caller: &str, path: &[&[u8]], body: &[u8]) -> Self {
         let mut hash = Sha256::new();
         for part in [caller.as_bytes()].iter().chain(path).chain(&[body]) {
-            // With its length, so that no piece can pass for a part of the next one.
+            // The length prefix keeps other splits of the same bytes distinct.
             hash.update(part.len().to_le_bytes());
             hash.update(part);
         }
-        let mut truncated = [0; CONTENT_BYTES];
-        truncated.copy_from_slice(&hash.finalize()[..CONTENT_BYTES]);
+        let mut truncated = [0; FINGERPRINT_BYTES];
+        truncated.copy_from_slice(&hash.finalize()[..FINGERPRINT_BYTES]);
         Self(u128::from_le_bytes(truncated))
     }
 }
--- a/crates/jb-policy/src/poison/ledger.rs
+++ b/crates/jb-policy/src/poison/ledger.rs
@@ -1,4 +1,4 @@
-//! All requests under which engines have crashed.
+//! Evidence on all requests under which engines have crashed.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -6,44 +6,44 @@
 use super::{EngineId, Evidence, Fingerprint};
 use crate::Moment;
 
-/// Requests that are remembered.
+/// Maximum number of requests that are kept.
 const MAX_REQUESTS: usize = 4096;
-/// Requests that are evicted at once where there are too many.
+/// Number of requests that are evicted at once if there are too many.
 const EVICTION_BATCH: usize = MAX_REQUESTS / 8;
-/// Time after the last evidence for which a request is remembered and stays quarantined. A request with
-/// another body is another request.
+/// Time after the last evidence for which a request is kept and stays quarantined. A request with another body is
+/// another request, so quarantine doesn't affect it.
 pub const RETENTION: Duration = Duration::from_secs(600);
-/// Time after which a trial counts as over without a message about its end.
+/// Time after which a trial counts as finished without a message about its end.
 const TRIAL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What is known of a request.
+/// Classification of a request by its evidence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Verdict {
-    /// It may go to any engine.
+    /// It may be sent to any engine.
     Unsuspected,
-    /// It goes to an engine without other suspects, one trial at a time.
+    /// It is sent to an engine without other suspects, in one trial at a time.
     Suspected,
-    /// It goes to no engine.
+    /// It is sent to no engine.
     Quarantined,
 }
 
-/// What new evidence has changed.
+/// Verdicts before and after new evidence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Verdict before.
+    /// Verdict before the evidence.
     pub before: Verdict,
-    /// Verdict now.
+    /// Verdict with the evidence.
     pub after: Verdict,
 }
 
-/// Evidence on one request, as boxes exchange it.
+/// Evidence on one request, in the form that boxes exchange.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// The evidence.
+    /// Evidence on the request.
     pub evidence: Evidence,
-    /// Moment of the last evidence.
+    /// Time of the last evidence.
     pub at: Moment,
 }
 
@@ -60,34 +60,34 @@
     until: Moment,
 }
 
-/// All requests under which engines have crashed, as one box knows them.
+/// Requests under which engines have crashed, as known by one box.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     entries: HashMap<Fingerprint, Entry>,
-    /// Requests that are poison unless others have caused their crashes.
-    accused: BTreeSet<Fingerprint>,
+    /// Requests that are poison unless other requests have caused the crashes.
+    candidates: BTreeSet<Fingerprint>,
     quarantined: BTreeSet<Fingerprint>,
     /// Crashes that are attributed to quarantined requests.
     attributed: BTreeSet<EngineId>,
 }
 
 impl Ledger {
-    /// Whether nothing is known of any request, as on a day without trouble.
+    /// Returns whether there is no evidence on any request, which is the normal case.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// What is known of a request.
+    /// Returns the verdict on a request.
     pub fn verdict(&self, fingerprint: Fingerprint, now: Moment) -> Verdict {
-        let fresh = |entry: &&Entry| now < entry.at + RETENTION;
-        match self.entries.get(&fingerprint).filter(fresh) {
+        let is_retained = |entry: &&Entry| now < entry.at + RETENTION;
+        match self.entries.get(&fingerprint).filter(is_retained) {
             Some(_) if self.quarantined.contains(&fingerprint) => Verdict::Quarantined,
             Some(entry) if entry.evidence.is_suspect(&self.attributed) => Verdict::Suspected,
             _ => Verdict::Unsuspected,
         }
     }
 
-    /// Merges evidence; returns nothing if it adds nothing.
+    /// Merges evidence; returns `None` if it has expired or adds nothing.
     pub fn merge(&mut self, row: &Row, now: Moment) -> Option<Change> {
         if now >= row.at + RETENTION {
             return None;
@@ -104,39 +104,40 @@
         }
         entry.at = entry.at.max(row.at);
         if entry.evidence.is_poison(&BTreeSet::new()) {
-            self.accused.insert(fingerprint);
+            self.candidates.insert(fingerprint);
         } else {
-            self.accused.remove(&fingerprint);
+            self.candidates.remove(&fingerprint);
         }
-        self.bound(now);
-        self.resolve();
+        self.evict_excess(now);
+        self.attribute_crashes();
         let after = self.verdict(fingerprint, now);
         Some(Change { before, after })
     }
 
-    /// Attributes crashes to requests: first to the one with the strongest evidence, then to others by what
-    /// is left. One whose crashes are all attributed to others isn't poison.
-    fn resolve(&mut self) {
+    /// Attributes crashes to requests: first to the one with the strongest evidence, then to others by the remaining
+    /// crashes. A request whose crashes are all attributed to others isn't poison.
+    fn attribute_crashes(&mut self) {
         let evidence = |fingerprint: &Fingerprint| self.entries.get(fingerprint).map(|entry| &entry.evidence);
         let known = self
-            .accused
+            .candidates
             .iter()
             .filter_map(|fingerprint| Some((*fingerprint, evidence(fingerprint)?)));
-        let mut accused: Vec<(Fingerprint, &Evidence)> = known.collect();
-        accused.sort_by_key(|(fingerprint, evidence)| std::cmp::Reverse((evidence.strength(), *fingerprint)));
+        let mut candidates: Vec<(Fingerprint, &Evidence)> = known.collect();
+        candidates
+            .sort_by_key(|(fingerprint, evidence)| std::cmp::Reverse((evidence.strength(), *fingerprint)));
         let mut quarantined: Vec<(Fingerprint, &Evidence)> = Vec::new();
-        for (fingerprint, evidence) in accused {
-            if evidence.is_poison(&ended_by(&quarantined)) {
+        for (fingerprint, evidence) in candidates {
+            if evidence.is_poison(&crashes_of(&quarantined)) {
                 quarantined.push((fingerprint, evidence));
             }
         }
         for at in (0..quarantined.len()).rev() {
             let last = quarantined.remove(at);
-            if last.1.is_suspect(&ended_by(&quarantined)) {
+            if last.1.is_suspect(&crashes_of(&quarantined)) {
                 quarantined.insert(at, last);
             }
         }
-        let attributed = ended_by(&quarantined);
+        let attributed = crashes_of(&quarantined);
         self.quarantined = quarantined
             .into_iter()
             .map(|(fingerprint, _)| fingerprint)
@@ -144,18 +145,18 @@
         self.attributed = attributed;
     }
 
-    /// Evicts requests whose retention is over.
+    /// Evicts requests whose retention has ended.
     pub fn forget(&mut self, now: Moment) {
         self.entries.retain(|_, entry| now < entry.at + RETENTION);
         let entries = &self.entries;
-        self.accused
+        self.candidates
             .retain(|fingerprint| entries.contains_key(fingerprint));
-        self.resolve();
+        self.attribute_crashes();
     }
 
-    /// Keeps the number of requests within its bound. Those go that are least dangerous, of several
-    /// the oldest: a flood of requests that fell with their engines takes no place of a shown one.
-    fn bound(&mut self, now: Moment) {
+    /// Evicts requests if there are too many: the least suspected first, and among those the oldest, so that many
+    /// innocent requests of crashed engines don't displace quarantined ones.
+    fn evict_excess(&mut self, now: Moment) {
         if self.entries.len() <= MAX_REQUESTS {
             return;
         }
@@ -170,22 +171,22 @@
         ranked.sort_unstable();
         for (_, _, fingerprint) in ranked.into_iter().take(EVICTION_BATCH) {
             self.entries.remove(&fingerprint);
-            self.accused.remove(&fingerprint);
+            self.candidates.remove(&fingerprint);
         }
     }
 
-    /// Returns whether any engine has crashed under a request.
+    /// Returns whether there is evidence on a request.
     pub fn contains(&self, fingerprint: Fingerprint) -> bool {
         self.entries.contains_key(&fingerprint)
     }
 
-    /// Time after which a quarantined request is released, if there is no new evidence.
+    /// Returns the time after which a quarantined request is released without new evidence.
     pub fn retention_left(&self, fingerprint: Fingerprint, now: Moment) -> Duration {
         let entry = self.entries.get(&fingerprint);
         entry.map_or(Duration::ZERO, |entry| (entry.at + RETENTION).saturating_sub(now))
     }
 
-    /// Notes that an engine gets a suspect.
+    /// Notes that a trial of a suspect starts at an engine.
     pub fn begin_trial(&mut self, fingerprint: Fingerprint, engine: EngineId, now: Moment) {
         if let Some(entry) = self.entries.get_mut(&fingerprint) {
             let until = now + TRIAL_TIMEOUT;
@@ -193,27 +194,27 @@
         }
     }
 
-    /// Notes that an engine no longer has a suspect.
+    /// Notes that the trial of a suspect at an engine has ended.
     pub fn end_trial(&mut self, fingerprint: Fingerprint, engine: EngineId) {
         if let Some(entry) = self.entries.get_mut(&fingerprint) {
             entry.trial = entry.trial.filter(|trial| trial.engine != engine);
         }
     }
 
-    /// Returns whether a trial of the request is under way.
+    /// Returns whether a trial of the request is in progress.
     pub fn has_trial(&self, fingerprint: Fingerprint, now: Moment) -> bool {
         let entry = self.entries.get(&fingerprint);
         entry.is_some_and(|entry| entry.trial.is_some_and(|trial| now < trial.until))
     }
 
-    /// Engines with a trial.
+    /// Returns the engines with a trial in progress.
     pub fn trials(&self, now: Moment) -> Vec<EngineId> {
         let trials = self.entries.values().filter_map(|entry| entry.trial);
         let open = trials.filter(|trial| now < trial.until);
         open.map(|trial| trial.engine).collect()
     }
 
-    /// Engines that have crashed while they ran a request.
+    /// Returns the engines that crashed while they ran a request.
     pub fn crashed_engines(&self, fingerprint: Fingerprint) -> BTreeSet<EngineId> {
         let entry = self.entries.get(&fingerprint);
         entry
@@ -221,7 +222,7 @@
             .unwrap_or_default()
     }
 
-    /// What is known of a request.
+    /// Returns the evidence on a request, in the form that boxes exchange.
     pub fn row(&self, fingerprint: Fingerprint) -> Option<Row> {
         let entry = self.entries.get(&fingerprint)?;
         Some(Row {
@@ -231,7 +232,7 @@
         })
     }
 
-    /// Requests that other boxes must know of, the quarantined ones first.
+    /// Returns the suspected and quarantined requests for other boxes, the quarantined ones first.
     pub fn suspects(&self, now: Moment) -> Vec<Row> {
         let ranked = self
             .entries
@@ -248,7 +249,7 @@
     }
 }
 
-fn ended_by(quarantined: &[(Fingerprint, &Evidence)]) -> BTreeSet<EngineId> {
+fn crashes_of(quarantined: &[(Fingerprint, &Evidence)]) -> BTreeSet<EngineId> {
     quarantined
         .iter()
         .flat_map(|(_, evidence)| evidence.crashed())
--- a/crates/jb-policy/src/poison/mod.rs
+++ b/crates/jb-policy/src/poison/mod.rs
@@ -1,11 +1,11 @@
-//! Poison requests: those that end each engine that begins to run them.
+//! Poison requests, which crash each engine that starts to run them.
 //!
-//! An engine that crashes takes all its requests with it, and all but one of them are innocent. So a request
-//! is suspected once several engines have crashed under it, goes to the next engine in an isolated trial,
-//! and is quarantined when that one crashes too. Crashes that are attributed to a quarantined request don't
-//! count against other requests.
+//! A crashing engine fails all its requests, of which only one has caused the crash. So a request becomes a suspect
+//! once several engines have crashed while they ran it, is sent to the next engine in an isolated trial, and is
+//! quarantined if that one crashes too. Crashes that are attributed to a quarantined request don't count against
+//! other requests.
 //!
-//! Boxes exchange evidence, which only grows: the verdict doesn't depend on the order of messages.
+//! Boxes exchange evidence. It only accumulates, so the verdict doesn't depend on the order of messages.
 
 mod evidence;
 mod fingerprint;
--- a/crates/jb-policy/src/upstream.rs
+++ b/crates/jb-policy/src/upstream.rs
@@ -1,4 +1,4 @@
-//! State of one upstream as one box sees it.
+//! State of an upstream as seen by one box.
 
 use std::time::Duration;
 
@@ -16,75 +16,75 @@
 use crate::signal::Signals;
 use crate::{Moment, rendezvous};
 
-/// Time for which an upstream that denied a request is left alone.
+/// Pause after an upstream has denied a request.
 const DENIAL_PAUSE: Duration = Duration::from_secs(1);
 
-/// Time for which an upstream without incarnations, as a plain service, counts as draining after its signal:
-/// its successor may have its name and address.
+/// Duration for which an upstream without incarnations, such as a plain service, counts as draining after its signal;
+/// it is limited because a successor may have the same name and address.
 const DRAIN_DURATION: Duration = Duration::from_secs(600);
 
-/// Changes by the signals of a response.
+/// Changes of an upstream's state by the signals of a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Changes {
-    /// Whether it has begun to drain.
+    /// Whether the upstream has started to drain.
     pub started_draining: bool,
-    /// End of a backoff, where that is later than before.
+    /// End of the backoff, if it is later than before.
     pub backoff_until: Option<Moment>,
-    /// Its rate limit, where that has changed.
+    /// New rate limit, if it has changed; the inner value is absent if the limit was lifted.
     pub limit: Option<Option<Rate>>,
 }
 
-/// Why an upstream gets no new work.
+/// Sources that report an upstream as draining.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Drain {
-    /// By the tree.
+    /// The configuration tree.
     pub by_tree: bool,
-    /// By the platform's box list.
+    /// The platform's box list.
     pub by_list: bool,
-    /// By the upstream's own report.
+    /// The upstream's own report.
     pub by_report: bool,
 }
 
 impl Drain {
-    /// Any one of the three signals is enough.
+    /// Returns whether any of the sources reports the upstream as draining.
     pub fn is_draining(self) -> bool {
         self.by_tree || self.by_list || self.by_report
     }
 }
 
-/// One upstream.
+/// An upstream with everything that routing needs to know of it.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// Name.
+    /// Name of the upstream.
     pub id: id::Upstream,
     /// Hash of the name, for placement.
     pub hash: u64,
-    /// Signals that it drains.
+    /// Sources that report it as draining.
     pub drain: Drain,
-    /// Record of its failures.
+    /// Failures and ejection.
     pub health: Health,
-    /// Its waiting work.
+    /// Work that waits at it.
     pub backlog: Backlog,
-    /// Requests of this box that are open there.
+    /// Number of requests that this box has open at it.
     pub open: u32,
-    /// Count of its incarnations.
+    /// Number of its incarnations that this box has observed.
     pub epoch: Epoch,
-    /// Blocks put into its cache so far.
+    /// Number of blocks that were inserted into its cache.
     pub fill: Fill,
-    /// How fast its cache fills.
+    /// Rate at which its cache fills.
     pub pressure: Pressure,
     incarnation: Option<id::Incarnation>,
     weights_match: bool,
-    /// Backoff that it has asked for.
+    /// Backoff that it has requested.
     backoff: Backoff,
-    /// Until when it drains by the signal of a response.
+    /// Time until which it counts as draining by the signal of a response.
     draining_until: Moment,
     /// Rate limit that it has announced for all boxes together.
     limit: Share,
 }
 
 impl Upstream {
-    /// An upstream of which nothing is known yet; it may get work at once.
+    /// Creates an upstream without any observations; it may receive requests immediately.
     pub fn new(id: id::Upstream) -> Self {
         let hash = rendezvous::name_hash(&id);
         Self {
@@ -105,30 +105,30 @@
         }
     }
 
-    /// Whether it may get a new request now.
+    /// Returns whether it may receive a new request.
     pub fn is_available(&self, now: Moment) -> bool {
         self.accepts_requests(now) && self.health.is_available(now)
     }
 
-    /// Whether it takes work, as far as is known; it may be failing.
+    /// Returns whether it accepts requests as far as is known; it may still be ejected for failures.
     pub fn accepts_requests(&self, now: Moment) -> bool {
         self.is_in_rotation(now)
             && !self.backoff.blocks(self.open, now)
             && self.limit.permit_after(now).is_zero()
     }
 
-    /// Whether it takes work but for its backoff and rate limit.
+    /// Returns whether it accepts requests apart from its backoff and rate limit.
     fn is_in_rotation(&self, now: Moment) -> bool {
         self.weights_match && !self.drain.is_draining() && now >= self.draining_until
     }
 
-    /// When it takes work, where only its backoff or rate limit is in the way.
+    /// Returns when it accepts requests again, if only its backoff or rate limit prevents it now.
     pub fn available_at(&self, now: Moment) -> Option<Moment> {
-        let back = self.backoff.until().max(now + self.limit.permit_after(now));
-        self.is_in_rotation(now).then_some(back)
+        let available = self.backoff.until().max(now + self.limit.permit_after(now));
+        self.is_in_rotation(now).then_some(available)
     }
 
-    /// Why it gets no request now, for operators; `None` where it does.
+    /// Returns why it receives no requests, for operators; `None` if it does receive them.
     pub fn left_out(&self, now: Moment) -> Option<LeftOut> {
         let obstacles = [
             (self.drain.by_tree, Obstacle::LeavesByTree, None),
@@ -152,49 +152,49 @@
             ),
             (!self.health.is_available(now), Obstacle::Fails, None),
         ];
-        let (_, obstacle, until) = obstacles.into_iter().find(|(holds, ..)| *holds)?;
+        let (_, obstacle, until) = obstacles.into_iter().find(|(applies, ..)| *applies)?;
         let until = until.filter(|until| *until < Moment::MAX);
-        let time = until.map(|until| until.saturating_sub(now).as_millis());
+        let remaining = until.map(|until| until.saturating_sub(now).as_millis());
         Some(LeftOut {
             upstream: self.id.clone(),
             obstacle,
-            for_ms: time.and_then(|time| u64::try_from(time).ok()),
+            for_ms: remaining.and_then(|remaining| u64::try_from(remaining).ok()),
         })
     }
 
     /// Applies the signals of a response to a request that was sent at `sent`.
     ///
-    /// A report doesn't lift them: it may be older or incomplete.
+    /// A later report doesn't clear them, since it may be older than the response or incomplete.
     pub fn apply_signals(&mut self, signals: Signals, sent: Moment, now: Moment) -> Changes {
-        let left = now < self.draining_until;
+        let was_draining = now < self.draining_until;
         if signals.draining {
             self.draining_until = self.incarnation.map_or(now + DRAIN_DURATION, |_| Moment::MAX);
         }
-        let changed = self.limit.observe(signals.limit, sent, now);
+        let limit_changed = self.limit.observe(signals.limit, sent, now);
         Changes {
-            started_draining: signals.draining && !left,
+            started_draining: signals.draining && !was_draining,
             backoff_until: self.backoff.observe(signals, self.open, now),
-            limit: changed.then(|| self.limit.rate()),
+            limit: limit_changed.then(|| self.limit.rate()),
         }
     }
 
-    /// Its rate limit, as far as this box uses it.
+    /// Returns this box's share of the upstream's rate limit.
     pub fn limit_mut(&mut self) -> &mut Share {
         &mut self.limit
     }
 
-    /// Whether it has a rate limit.
+    /// Returns whether it has announced a rate limit.
     pub fn is_limited(&self) -> bool {
         self.limit.rate().is_some()
     }
 
-    /// Notes that a prompt brings `tokens` new tokens into the cache.
+    /// Notes that a prompt inserts `tokens` new tokens into its cache.
     pub fn insert(&mut self, tokens: u32, now: Moment) {
         self.fill = self.fill.wrapping_add(tokens / TOKENS_PER_BLOCK);
         self.pressure.add(tokens, now);
     }
 
-    /// The upstream as the holder of what it caches now.
+    /// Returns the holder to index for what it caches now, with its current epoch and fill.
     pub fn holder(&self, engine: EngineIndex) -> Holder {
         Holder {
             engine,
@@ -203,31 +203,30 @@
         }
     }
 
-    /// Whether a fact about its cache still holds: the same incarnation, and
-    /// fewer than `blocks` blocks put in since.
+    /// Returns whether an index entry is still valid: made in the same incarnation, with fewer than `blocks` blocks
+    /// inserted into the cache since.
     pub fn is_current(&self, holder: &Holder, blocks: u32) -> bool {
         holder.epoch == self.epoch && self.fill.wrapping_sub(holder.fill) < blocks
     }
 
-    /// Notes that it denied a request: it drains or has other weights, and
-    /// gets nothing more for a while.
+    /// Notes that it denied a request, because it is draining or has other weights; it receives no requests for a
+    /// while.
     pub fn note_denial(&mut self, now: Moment) {
         self.backoff.pause(DENIAL_PAUSE, now);
     }
 
-    /// Its last known incarnation.
+    /// Returns its last known incarnation.
     pub fn incarnation(&self) -> Option<id::Incarnation> {
         self.incarnation
     }
 
-    /// Notes which incarnation answers; `true` when it is a new one.
+    /// Notes the incarnation that responds and returns whether it is a new one.
     ///
-    /// A new incarnation starts with an empty cache and nothing waiting, so
-    /// everything known of the earlier one is void.
+    /// A new incarnation starts with an empty cache and no waiting work, so the state of the earlier one is reset.
     pub fn note_incarnation(&mut self, incarnation: id::Incarnation) -> bool {
         let before = self.incarnation.replace(incarnation);
-        let new = before.is_some_and(|known| known != incarnation);
-        if new {
+        let is_new = before.is_some_and(|before| before != incarnation);
+        if is_new {
             self.epoch += 1;
             self.backlog.clear();
             self.pressure = Pressure::default();
@@ -235,16 +234,16 @@
             self.limit.reset();
             self.draining_until = Moment::ZERO;
         }
-        new
+        is_new
     }
 
-    /// Takes a report; `true` when it shows a new incarnation.
+    /// Applies a report and returns whether it is from a new incarnation.
     pub fn note_report(&mut self, report: &Report, model: &str, weights: &str, now: Moment) -> bool {
-        let new = self.note_incarnation(report.incarnation);
+        let is_new = self.note_incarnation(report.incarnation);
         self.drain.by_report = report.leaving;
         self.weights_match = report.model == model && report.weights == weights;
         let age = Duration::from_millis(report.age_ms.into());
         self.backlog.report(&report.load, now.saturating_sub(age));
-        new
+        is_new
     }
 }
--- a/crates/jb-policy/src/weights.rs
+++ b/crates/jb-policy/src/weights.rs
@@ -1,24 +1,24 @@
-//! When versions of a model's weights were released, and which of them are overdue.
+//! Release times of a model's weights versions, and which versions are overdue for replacement.
 
 use std::time::Duration;
 
 use crate::Moment;
 
-/// Version of a model's weights; it only rises.
+/// Version of a model's weights; versions only increase.
 pub type Version = u64;
 
-/// Earliest moment at which a version was released.
+/// Release time of a version, as early as it may have been.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Since {
-    /// At this moment of the box's clock.
+enum ReleaseTime {
+    /// At this time on the box's clock.
     Moment(Moment),
-    /// This long before a moment, as another box knows, for a version older than the box's start.
+    /// This duration before a time, as reported by another box, for a version that was released before the box's start.
     Before(Moment, Duration),
-    /// Before the box's start; no other box has answered when.
+    /// Before the box's start; no other box has reported the time yet.
     Unknown,
 }
 
-impl Since {
+impl ReleaseTime {
     fn age(self, now: Moment) -> Option<Duration> {
         match self {
             Self::Moment(at) => Some(now.saturating_sub(at)),
@@ -28,21 +28,21 @@
     }
 }
 
-/// Release of one version.
+/// Release of a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Release {
     version: Version,
-    since: Since,
+    released: ReleaseTime,
 }
 
-/// Whether an engine's weights are past their time.
+/// Whether an engine's weights should have been replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Overdue {
-    /// They are not.
+    /// They are the newest, or the time for the replacement hasn't passed.
     No,
-    /// They are.
+    /// The time for the replacement has passed.
     Yes,
-    /// The next version was released before the box's start, and it isn't known when.
+    /// The next version was released at an unknown time before the box's start.
     Unknown,
 }
 
@@ -50,39 +50,39 @@
 #[derive(Clone, Debug, Default)]
 pub struct History(Vec<Release>);
 
-/// Versions that are remembered; older ones are overdue anyway.
+/// Maximum number of versions that are kept; older ones are overdue anyway.
 const MAX_RELEASES: usize = 64;
-/// Share of the time of old weights that passes from a box's start where the release is unknown: it may have
-/// been just before the start or long ago.
-const UNKNOWN_SHARE: f64 = 0.5;
+/// Fraction of the time for a replacement after which, from the box's start, weights are overdue if the release time
+/// is unknown: the release may have been just before the start or long ago.
+const UNKNOWN_FRACTION: f64 = 0.5;
 
 impl History {
-    /// Notes a version; `true` when it is newer than all before.
+    /// Notes a version that is released at `at`, if known; returns whether it is newer than all others.
     pub fn note(&mut self, version: Version, at: Option<Moment>) -> bool {
         if version <= self.newest() {
             return false;
         }
-        let since = at.map_or(Since::Unknown, Since::Moment);
-        self.put(Release { version, since });
+        let released = at.map_or(ReleaseTime::Unknown, ReleaseTime::Moment);
+        self.insert(Release { version, released });
         true
     }
 
-    /// Merges what another box knows: at `asked`, a version's release was `age` ago at the most.
+    /// Merges a release time from another box: at `asked`, the version was at most `age` old.
     ///
-    /// Releases that this box has observed itself stay.
+    /// Releases that this box has observed itself are kept.
     pub fn merge(&mut self, version: Version, asked: Moment, age: Duration) {
-        let since = Since::Before(asked, age);
+        let released = ReleaseTime::Before(asked, age);
         let newest = self.newest();
         match self.0.iter_mut().find(|release| release.version == version) {
-            Some(known) if known.since == Since::Unknown => known.since = since,
+            Some(known) if known.released == ReleaseTime::Unknown => known.released = released,
             Some(_) => {}
-            None if version < newest => self.put(Release { version, since }),
-            // A version that this box hasn't read from the store yet isn't in force here.
+            None if version < newest => self.insert(Release { version, released }),
+            // A version that this box hasn't read from the store yet isn't in force on it.
             None => {}
         }
     }
 
-    fn put(&mut self, release: Release) {
+    fn insert(&mut self, release: Release) {
         let at = self.0.partition_point(|known| known.version < release.version);
         self.0.insert(at, release);
         if self.0.len() > MAX_RELEASES {
@@ -90,33 +90,33 @@
         }
     }
 
-    /// Newest version; 0 for none.
+    /// Returns the newest version, or 0 if there is none.
     pub fn newest(&self) -> Version {
         self.0.last().map_or(0, |release| release.version)
     }
 
-    /// Whether the release of the newest version is unknown.
+    /// Returns whether the release time of the newest version is unknown.
     pub fn is_unknown(&self) -> bool {
         self.0
             .last()
-            .is_some_and(|release| release.since == Since::Unknown)
+            .is_some_and(|release| release.released == ReleaseTime::Unknown)
     }
 
-    /// Versions with the time since their release, the newest first.
+    /// Returns the versions with the time since their release, the newest first; those with unknown times are omitted.
     pub fn ages(&self, now: Moment) -> impl Iterator<Item = (Version, Duration)> {
         let known = self.0.iter().rev();
-        known.filter_map(move |release| Some((release.version, release.since.age(now)?)))
+        known.filter_map(move |release| Some((release.version, release.released.age(now)?)))
     }
 
-    /// Whether weights are past their time: it runs from the first version after them.
-    pub fn overdue(&self, has: Version, now: Moment, time: Duration) -> Overdue {
-        let Some(next) = self.0.iter().find(|release| release.version > has) else {
+    /// Returns whether the weights `current` are overdue: `time` counts from the release of the next version after them.
+    pub fn overdue(&self, current: Version, now: Moment, time: Duration) -> Overdue {
+        let Some(next) = self.0.iter().find(|release| release.version > current) else {
             return Overdue::No;
         };
-        match next.since.age(now) {
+        match next.released.age(now) {
             Some(age) if age >= time => Overdue::Yes,
             Some(_) => Overdue::No,
-            None if now >= time.mul_f64(UNKNOWN_SHARE) => Overdue::Yes,
+            None if now >= time.mul_f64(UNKNOWN_FRACTION) => Overdue::Yes,
             None => Overdue::Unknown,
         }
     }
--- a/crates/jb-policy/tests/dissemination.rs
+++ b/crates/jb-policy/tests/dissemination.rs
@@ -1,4 +1,4 @@
-//! A store that is away, or forgets its history, under a fleet of a thousand boxes and more.
+//! Load on the store from a fleet of a thousand boxes or more when it is unavailable or drops its history.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,37 +8,37 @@
 /// Sizes of a fleet in six data halls.
 const FLEETS: [usize; 2] = [1000, 2000];
 const HALLS: usize = 6;
-/// Age beyond which knowledge opens nothing.
+/// Age beyond which a copy of the store's content must not be used.
 const BOUND: Duration = Duration::from_secs(5);
-/// Age at which a relay node doesn't answer any more.
+/// Age of its copy from which a relay node doesn't respond.
 const OUTDATED: Duration = Duration::from_millis(1800);
 
 fn levels(boxes: usize) -> impl Iterator<Item = Level> {
     (0..HALLS).flat_map(move |_| (0..boxes / HALLS).map(Level::at))
 }
 
-/// All boxes called the store, and read all of it, as soon as their relay nodes knew nothing recent.
+/// Guards against all boxes calling the store and reading everything as soon as their relay nodes' copies are outdated.
 #[test]
-fn few_boxes_turn_to_the_store_when_relay_nodes_fall_behind() {
+fn few_boxes_call_the_store_when_relay_nodes_are_outdated() {
     for boxes in FLEETS {
-        let at_once = levels(boxes)
+        let immediate = levels(boxes)
             .filter(|level| level.max_wait(BOUND) <= OUTDATED)
             .count();
-        assert_eq!(at_once, HALLS * (1 + 8), "{boxes} boxes");
+        assert_eq!(immediate, HALLS * (1 + 8), "{boxes} boxes");
     }
 }
 
-/// A box takes itself for not ready after 0.7 of the bound.
+/// A box reports itself as not ready after 0.7 of the bound.
 #[test]
-fn every_box_turns_to_the_store_while_it_is_ready() {
+fn every_box_calls_the_store_while_it_is_ready() {
     for level in levels(FLEETS[1]) {
         assert!(level.max_wait(BOUND) < BOUND.mul_f64(0.7), "{level:?}");
     }
 }
 
-/// Each box called the store every 0.4 s of an outage, which spent the store's rate when it was back.
+/// Guards against each box calling the store every 0.4 s in an outage, which used up the store's rate limit at its return.
 #[test]
-fn calls_in_a_long_outage_stay_below_one_a_box_in_two_seconds() {
+fn calls_in_a_long_outage_stay_below_one_per_box_in_two_seconds() {
     const OUTAGE: Duration = Duration::from_secs(60);
     const AFTER_FAILURE: Duration = Duration::from_millis(400);
     for boxes in FLEETS {
@@ -50,23 +50,23 @@
         let per_second = all / OUTAGE.as_secs_f64();
         assert!(
             per_second < boxes as f64 / 2.0,
-            "{boxes} boxes: {per_second} a second"
+            "{boxes} boxes: {per_second} calls per second"
         );
     }
 }
 
-/// A relay node answered questions of all boxes of all data halls, several times a second.
+/// Guards against a relay node serving queries of all boxes of all data halls several times per second.
 #[test]
-fn most_boxes_ask_two_relay_nodes_at_a_time() {
+fn most_boxes_query_two_relay_nodes_at_a_time() {
     for boxes in FLEETS {
-        let asks_all = levels(boxes).filter(|level| level.max_asked() > 2).count();
-        assert_eq!(asks_all, HALLS * (1 + 8), "{boxes} boxes");
+        let query_all = levels(boxes).filter(|level| level.max_asked() > 2).count();
+        assert_eq!(query_all, HALLS * (1 + 8), "{boxes} boxes");
     }
 }
 
-/// A box that reported a crash or new weights sent as many datagrams as there are boxes.
+/// Guards against a box sending a datagram to every other box to report a crash or new weights.
 #[test]
-fn message_to_all_boxes_costs_none_of_them_more_than_twice_the_root_of_its_hall() {
+fn broadcast_needs_at_most_twice_the_square_root_of_the_hall_from_any_box() {
     for boxes in FLEETS {
         let others: Vec<usize> = (1..boxes / HALLS).collect();
         let (heads, rest) = others.split_at(dissemination::group_count(others.len()));
--- a/crates/jb-policy/tests/transfer.rs
+++ b/crates/jb-policy/tests/transfer.rs
@@ -1,15 +1,15 @@
-//! Where an engine takes the parts of a prompt from.
+//! Sources of the prompt segments that an engine doesn't have cached.
 
 use jb_policy::transfer::{CachedTokens, Origin, Plan, plan, plan_advised};
 
 const ROOT: u64 = 2500;
 const SHARED: u64 = 6300;
 
-fn takes(origin: Origin, tokens: u64, holdings: CachedTokens) {
-    assert_eq!(plan(&holdings), Plan { origin, tokens }, "{holdings:?}");
+fn assert_plan(origin: Origin, tokens: u64, cached: CachedTokens) {
+    assert_eq!(plan(&cached), Plan { origin, tokens }, "{cached:?}");
 }
 
-fn holdings() -> CachedTokens {
+fn cached() -> CachedTokens {
     CachedTokens {
         shared: SHARED,
         has_store: true,
@@ -19,101 +19,98 @@
 }
 
 #[test]
-fn store_with_all_parts_goes_before_an_engine_with_the_first() {
-    let holdings = CachedTokens {
+fn store_with_all_segments_is_preferred_to_an_engine_with_some() {
+    let cached = CachedTokens {
         engine: ROOT,
         store: SHARED,
-        ..holdings()
+        ..cached()
     };
-    takes(Origin::Store, SHARED, holdings);
+    assert_plan(Origin::Store, SHARED, cached);
     let own = ROOT;
-    takes(Origin::Store, SHARED - ROOT, CachedTokens { own, ..holdings });
+    assert_plan(Origin::Store, SHARED - ROOT, CachedTokens { own, ..cached });
 }
 
 #[test]
-fn engine_with_all_parts_goes_before_the_store() {
-    let holdings = CachedTokens {
+fn engine_with_all_segments_is_preferred_to_the_store() {
+    let cached = CachedTokens {
         engine: SHARED,
         store: SHARED,
-        ..holdings()
+        ..cached()
     };
-    takes(Origin::Engine, SHARED, holdings);
+    assert_plan(Origin::Engine, SHARED, cached);
 }
 
 #[test]
-fn store_is_asked_for_parts_that_nobody_is_known_to_have() {
-    let holdings = CachedTokens {
+fn store_is_queried_for_segments_that_are_not_known_to_be_cached() {
+    let cached = CachedTokens {
         own: ROOT,
         engine: ROOT,
-        ..holdings()
+        ..cached()
     };
-    // None of them can be counted on.
-    takes(Origin::Store, 0, holdings);
+    // No tokens are expected from the query.
+    assert_plan(Origin::Store, 0, cached);
 }
 
-/// The store was asked although it was not known to have anything, nothing came, and the engine
-/// read all again.
+/// Guards against a query to a store that isn't known to have anything, which misses, so that the engine processes all
+/// segments again although another engine has some.
 #[test]
-fn engine_with_some_parts_goes_before_a_store_that_is_not_known_to_have_more() {
-    let holdings = CachedTokens {
+fn engine_with_some_segments_is_preferred_to_a_store_that_is_not_known_to_have_more() {
+    let cached = CachedTokens {
         engine: ROOT,
-        ..holdings()
+        ..cached()
     };
-    takes(Origin::Engine, ROOT, holdings);
-    // A box that hears of some prompts only takes the store's chance.
+    assert_plan(Origin::Engine, ROOT, cached);
+    // A box that doesn't receive every publication queries the store.
     let is_exact = false;
-    takes(Origin::Store, 0, CachedTokens { is_exact, ..holdings });
+    assert_plan(Origin::Store, 0, CachedTokens { is_exact, ..cached });
 }
 
 #[test]
-fn engine_with_some_parts_is_the_source_where_there_is_no_store() {
-    let holdings = CachedTokens {
+fn engine_with_some_segments_is_the_source_without_a_store() {
+    let cached = CachedTokens {
         engine: ROOT,
         has_store: false,
-        ..holdings()
+        ..cached()
     };
-    takes(Origin::Engine, ROOT, holdings);
+    assert_plan(Origin::Engine, ROOT, cached);
 }
 
 #[test]
-fn few_missing_tokens_are_no_move() {
-    let holdings = CachedTokens {
+fn few_missing_tokens_are_not_transferred() {
+    let cached = CachedTokens {
         own: SHARED - 40,
         engine: SHARED,
-        ..holdings()
+        ..cached()
     };
-    takes(Origin::Nowhere, 0, holdings);
+    assert_plan(Origin::Nowhere, 0, cached);
 }
 
-/// An engine that had dropped parts without a word read them again, though a store had them.
+/// Guards against an engine that has evicted segments unnoticed and processes them again although a store has them.
 #[test]
-fn store_is_asked_by_account_whatever_the_engine_is_believed_to_keep() {
-    let holdings = CachedTokens {
+fn store_is_queried_even_if_the_engine_is_expected_to_have_all_segments() {
+    let cached = CachedTokens {
         own: 6300,
         store: 6300,
         shared: 6300,
         has_store: true,
         ..CachedTokens::default()
     };
-    let plan = plan_advised(&holdings);
+    let plan = plan_advised(&cached);
     assert_eq!((plan.origin, plan.tokens), (Origin::Store, 0));
-    let few = CachedTokens {
-        shared: 60,
-        ..holdings
-    };
+    let few = CachedTokens { shared: 60, ..cached };
     assert_eq!(plan_advised(&few).origin, Origin::Nowhere);
 }
 
 #[test]
-fn engine_goes_before_the_store_only_with_all_of_it() {
-    let head = CachedTokens {
+fn engine_is_preferred_to_the_store_only_with_all_segments() {
+    let some = CachedTokens {
         engine: 2520,
         shared: 6300,
         has_store: true,
         ..CachedTokens::default()
     };
-    assert_eq!(plan_advised(&head).origin, Origin::Store);
-    let whole = CachedTokens { engine: 6300, ..head };
-    let plan = plan_advised(&whole);
+    assert_eq!(plan_advised(&some).origin, Origin::Store);
+    let all = CachedTokens { engine: 6300, ..some };
+    let plan = plan_advised(&all);
     assert_eq!((plan.origin, plan.tokens), (Origin::Engine, 6300));
 }
