--- a/crates/jb-policy/src/dissemination.rs
+++ b/crates/jb-policy/src/dissemination.rs
@@ -1,9 +1,9 @@
-//! Tree by which the boxes of a data hall forward the store's content to each other, and the delays after which a box
-//! calls the store itself.
+//! Tree by which the boxes of a data hall forward the store's content to each other, and the delays after
+//! which a box calls the store itself.
 //!
-//! If all boxes called the store as soon as their relay node's copy is outdated, each box would call it at the end of
-//! an outage, and read everything again after the store has dropped its history. So boxes wait longer the lower their
-//! level is.
+//! If all boxes called the store as soon as their relay node's copy is outdated, each box would call it at
+//! the end of an outage, and read everything again after the store has dropped its history. So boxes wait
+//! longer the lower their level is.
 
 use std::time::Duration;
 
@@ -13,13 +13,14 @@
 const WAIT_FRACTION: f64 = 0.25;
 /// Largest fraction: a box without updates must call the store before its copy is too old to be used.
 const MAX_WAIT_FRACTION: f64 = 0.6;
-/// Interval at which a box of the second level below the root retries a failing store; each further level adds the
-/// same amount.
+/// Interval at which a box of the second level below the root retries a failing store; each further level
+/// adds the same amount.
 const RETRY_INTERVAL: Duration = Duration::from_secs(2);
 /// Maximum number of relay nodes that a box of the second or a lower level queries at the same time.
 const MAX_RELAY_QUERIES: usize = 2;
 
-/// Returns the positions of a box's ancestors, the nearest first; positions are those in the order of the data hall.
+/// Returns the positions of a box's ancestors, the nearest first; positions are those in the order of the
+/// data hall.
 pub fn ancestors(position: usize) -> impl Iterator<Item = usize> {
     let parent = |&at: &usize| at.checked_sub(1).map(|before| before / FAN_OUT);
     std::iter::successors(parent(&position), parent)
@@ -35,28 +36,29 @@
         Self(ancestors(position).count())
     }
 
-    /// Returns the age of its copy up to which a box waits for a live relay node whose copy is outdated; `bound` is the
-    /// age beyond which a copy must not be used.
+    /// Returns the age of its copy up to which a box waits for a live relay node whose copy is outdated;
+    /// `bound` is the age beyond which a copy must not be used.
     pub fn max_wait(self, bound: Duration) -> Duration {
         let level = f64::from(u32::try_from(self.0).unwrap_or(u32::MAX));
         bound.mul_f64((WAIT_FRACTION * level).min(MAX_WAIT_FRACTION))
     }
 
-    /// Returns the interval at which a box without updates retries a failing store, in addition to the backoff after
-    /// each failure.
+    /// Returns the interval at which a box without updates retries a failing store, in addition to the
+    /// backoff after each failure.
     pub fn retry_interval(self) -> Duration {
         let levels = u32::try_from(self.0.saturating_sub(1)).unwrap_or(u32::MAX);
         RETRY_INTERVAL.saturating_mul(levels)
     }
 
-    /// Returns the number of relay nodes that a box queries at the same time while its calls to the store fail.
+    /// Returns the number of relay nodes that a box queries at the same time while its calls to the store
+    /// fail.
     pub fn max_asked(self) -> usize {
         if self.0 > 1 { MAX_RELAY_QUERIES } else { usize::MAX }
     }
 }
 
-/// Returns the number of groups into which the recipients of a message are split: it balances the messages of the
-/// sender, which sends to the head of each group, and those of the heads.
+/// Returns the number of groups into which the recipients of a message are split: it balances the messages of
+/// the sender, which sends to the head of each group, and those of the heads.
 pub fn group_count(recipients: usize) -> usize {
     recipients.isqrt()
 }
--- a/crates/jb-policy/src/hall_reachability.rs
+++ b/crates/jb-policy/src/hall_reachability.rs
@@ -1,8 +1,9 @@
 //! Reachability of data halls.
 //!
-//! Connections to a partitioned hall time out instead of being refused, so each attempt costs a request the full
-//! connection timeout, and there are too many upstreams to detect it for each. Timeouts therefore apply to the whole
-//! hall for a while, and timeouts of several halls at the same time mean that the own hall is partitioned.
+//! Connections to a partitioned hall time out instead of being refused, so each attempt costs a request the
+//! full connection timeout, and there are too many upstreams to detect it for each. Timeouts therefore apply
+//! to the whole hall for a while, and timeouts of several halls at the same time mean that the own hall is
+//! partitioned.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -113,7 +114,8 @@
         self.timeouts.is_empty()
     }
 
-    /// Returns the halls that requests avoid; `relay_is_partitioned` tells whether the own hall's relay node reaches no other hall.
+    /// Returns the halls that requests avoid; `relay_is_partitioned` tells whether the own hall's relay node
+    /// reaches no other hall.
     pub fn avoided(&self, now: Moment, relay_is_partitioned: bool) -> Avoided {
         let avoided = || self.timeouts.iter().filter(|(_, timeouts)| now < timeouts.until);
         let since = avoided().map(|(_, timeouts)| timeouts.since).min();
--- a/crates/jb-policy/src/health.rs
+++ b/crates/jb-policy/src/health.rs
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Notes that a request ended without showing whether the upstream works, for example cancelled by its caller.
+    /// Notes that a request ended without showing whether the upstream works, for example cancelled by its
+    /// caller.
     pub fn note_inconclusive(&mut self) {
         self.is_probing = false;
     }
--- a/crates/jb-policy/src/idempotency.rs
+++ b/crates/jb-policy/src/idempotency.rs
@@ -1,9 +1,9 @@
 //! Idempotency records of requests that run at most once.
 //!
 //! A record is a part of a document in the platform's key-value service. Records are distributed over shards,
-//! and a box writes all records that wait for a shard in one compare-and-swap. The swap is the fence: whatever
-//! two boxes know of each other, only one of them can insert a key. A record names its owner, so that a writer
-//! that lost the response to its write recognises its own record.
+//! and a box writes all records that wait for a shard in one compare-and-swap. The swap is the fence:
+//! whatever two boxes know of each other, only one of them can insert a key. A record names its owner, so
+//! that a writer that lost the response to its write recognises its own record.
 
 use std::collections::HashMap;
 
@@ -62,8 +62,8 @@
 /// Result of a batch of reservations, with the write that it needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// A decision for each reservation, in order; `Granted` takes effect only once `write` has been written by
-    /// compare-and-swap on the shard that was read.
+    /// A decision for each reservation, in order; `Granted` takes effect only once `write` has been written
+    /// by compare-and-swap on the shard that was read.
     pub decisions: Vec<Decision>,
     /// Shard to write; `None` if no record was added.
     pub write: Option<Shard>,
--- a/crates/jb-policy/src/lib.rs
+++ b/crates/jb-policy/src/lib.rs
@@ -37,5 +37,6 @@
 pub mod upstream;
 pub mod weights;
 
-/// A point in time, as the duration since an origin that the caller chooses, such as the start of the process.
+/// A point in time, as the duration since an origin that the caller chooses, such as the start of the
+/// process.
 pub type Moment = std::time::Duration;
--- a/crates/jb-policy/src/member.rs
+++ b/crates/jb-policy/src/member.rs
@@ -1,8 +1,8 @@
 //! Membership protocol between boxes.
 //!
-//! At each tick a box probes a constant number of others, in rotation, and sends each a constant number of updates,
-//! so its cost doesn't grow with the number of boxes. Membership is a hint only: a box that is wrongly considered
-//! dead loses traffic, but no guarantee depends on it.
+//! At each tick a box probes a constant number of others, in rotation, and sends each a constant number of
+//! updates, so its cost doesn't grow with the number of boxes. Membership is a hint only: a box that is
+//! wrongly considered dead loses traffic, but no guarantee depends on it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -31,7 +31,8 @@
     pub peer_address: String,
     /// Address of its admin port.
     pub admin_address: String,
-    /// Heartbeat counter, which only the box itself increments; after a restart it continues at a far higher value.
+    /// Heartbeat counter, which only the box itself increments; after a restart it continues at a far higher
+    /// value.
     pub heartbeat: u64,
     /// Whether it is stopping.
     pub stopping: bool,
--- a/crates/jb-policy/src/poison/evidence.rs
+++ b/crates/jb-policy/src/poison/evidence.rs
@@ -5,11 +5,11 @@
 /// Hash that identifies an engine instance.
 pub type EngineId = u32;
 
-/// Maximum number of instances that are kept for each kind of evidence on a request: more than any threshold, and few
-/// enough for a row of a datagram. If there are more, all boxes keep the same ones.
+/// Maximum number of instances that are kept for each kind of evidence on a request: more than any threshold,
+/// and few enough for a row of a datagram. If there are more, all boxes keep the same ones.
 const MAX_INSTANCES: usize = 8;
-/// Number of crashes that a completed run cancels out: a request that was completed isn't poison, and whatever
-/// else crashed its engines must crash three more before it is suspected again.
+/// Number of crashes that a completed run cancels out: a request that was completed isn't poison, and
+/// whatever else crashed its engines must crash three more before it is suspected again.
 const CRASHES_CLEARED_BY_COMPLETION: usize = 3;
 /// Number of crashes from which on a request is suspected.
 const SUSPICION_THRESHOLD: usize = 2;
@@ -40,7 +40,8 @@
 }
 
 impl Evidence {
-    /// Creates evidence of a crash while the engine ran the request; `isolated` if it was the only suspect there.
+    /// Creates evidence of a crash while the engine ran the request; `isolated` if it was the only suspect
+    /// there.
     pub fn from_crash(engine: EngineId, isolated: bool) -> Self {
         let mut evidence = Self::default();
         evidence.crashed.merge([engine]);
@@ -88,7 +89,8 @@
         self.completed.0.iter().copied()
     }
 
-    /// Returns the rank by which crashes are attributed if several requests may have caused them, the highest first.
+    /// Returns the rank by which crashes are attributed if several requests may have caused them, the highest
+    /// first.
     pub fn strength(&self) -> (usize, usize) {
         (self.weight(self.crashed.0.len()), self.isolated.0.len())
     }
--- a/crates/jb-policy/src/poison/fingerprint.rs
+++ b/crates/jb-policy/src/poison/fingerprint.rs
@@ -5,10 +5,11 @@
 /// Length of the truncated hash in bytes, enough to avoid collisions.
 const FINGERPRINT_BYTES: usize = 16;
 
-/// Hash of a request's caller, path and body, which is independent of its id and of the boxes that forward it.
+/// Hash of a request's caller, path and body, which is independent of its id and of the boxes that forward
+/// it.
 ///
-/// It is a hash, so that no body is stored. It includes the caller, so that no caller can make another one's requests
-/// suspect.
+/// It is a hash, so that no body is stored. It includes the caller, so that no caller can make another one's
+/// requests suspect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint(pub u128);
 
--- a/crates/jb-policy/src/poison/ledger.rs
+++ b/crates/jb-policy/src/poison/ledger.rs
@@ -10,8 +10,8 @@
 const MAX_REQUESTS: usize = 4096;
 /// Number of requests that are evicted at once if there are too many.
 const EVICTION_BATCH: usize = MAX_REQUESTS / 8;
-/// Time after the last evidence for which a request is kept and stays quarantined. A request with another body is
-/// another request, so quarantine doesn't affect it.
+/// Time after the last evidence for which a request is kept and stays quarantined. A request with another
+/// body is another request, so quarantine doesn't affect it.
 pub const RETENTION: Duration = Duration::from_secs(600);
 /// Time after which a trial counts as finished without a message about its end.
 const TRIAL_TIMEOUT: Duration = Duration::from_secs(5);
@@ -114,8 +114,8 @@
         Some(Change { before, after })
     }
 
-    /// Attributes crashes to requests: first to the one with the strongest evidence, then to others by the remaining
-    /// crashes. A request whose crashes are all attributed to others isn't poison.
+    /// Attributes crashes to requests: first to the one with the strongest evidence, then to others by the
+    /// remaining crashes. A request whose crashes are all attributed to others isn't poison.
     fn attribute_crashes(&mut self) {
         let evidence = |fingerprint: &Fingerprint| self.entries.get(fingerprint).map(|entry| &entry.evidence);
         let known = self
@@ -154,8 +154,8 @@
         self.attribute_crashes();
     }
 
-    /// Evicts requests if there are too many: the least suspected first, and among those the oldest, so that many
-    /// innocent requests of crashed engines don't displace quarantined ones.
+    /// Evicts requests if there are too many: the least suspected first, and among those the oldest, so that
+    /// many innocent requests of crashed engines don't displace quarantined ones.
     fn evict_excess(&mut self, now: Moment) {
         if self.entries.len() <= MAX_REQUESTS {
             return;
--- a/crates/jb-policy/src/prefix.rs
+++ b/crates/jb-policy/src/prefix.rs
@@ -1,8 +1,8 @@
 //! Hashes of a prompt's prefixes.
 //!
-//! A prompt is divided into blocks, and the hash of each block covers all blocks before it. The first hash is seeded
-//! with the customer, the model and the weights version, so cached state of another customer or other weights has
-//! another hash and can't be matched by mistake.
+//! A prompt is divided into blocks, and the hash of each block covers all blocks before it. The first hash is
+//! seeded with the customer, the model and the weights version, so cached state of another customer or other
+//! weights has another hash and can't be matched by mistake.
 
 use jb_protocol::token::{self, BYTES_PER_BLOCK, TOKENS_PER_BLOCK};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
@@ -97,8 +97,8 @@
         .collect()
 }
 
-/// Returns the number of whole blocks before the end of each level except the last, which is not shared between
-/// requests.
+/// Returns the number of whole blocks before the end of each level except the last, which is not shared
+/// between requests.
 fn level_ends(levels: &[String]) -> Vec<usize> {
     let shared = levels.len().saturating_sub(1);
     levels[..shared]
--- a/crates/jb-policy/src/prefix_cache.rs
+++ b/crates/jb-policy/src/prefix_cache.rs
@@ -1,8 +1,8 @@
 //! Model of the prefix cache of an engine or a store.
 //!
 //! Engines evict the least recently used segments, so a segment counts as cached until more tokens than the
-//! capacity have been inserted since its last use. Boxes publish the prompts that they send, so the model covers
-//! all boxes except for publications in flight.
+//! capacity have been inserted since its last use. Boxes publish the prompts that they send, so the model
+//! covers all boxes except for publications in flight.
 
 use std::collections::HashMap;
 
@@ -53,7 +53,8 @@
         }
     }
 
-    /// Inserts segments that are known to be cached, as used just now, since the order of their use is unknown.
+    /// Inserts segments that are known to be cached, as used just now, since the order of their use is
+    /// unknown.
     pub fn observe(&mut self, segments: &[Segment]) {
         for segment in segments {
             self.segments.insert(segment.id, self.inserted);
@@ -67,7 +68,8 @@
             .is_some_and(|used| used + self.capacity >= self.inserted)
     }
 
-    /// Returns the number of tokens in the prompt's leading cached segments, which needn't be processed again.
+    /// Returns the number of tokens in the prompt's leading cached segments, which needn't be processed
+    /// again.
     pub fn cached_tokens(&self, prompt: &[Segment]) -> u64 {
         let leading = prompt.iter().take_while(|segment| self.holds(segment.id));
         leading.map(|segment| segment.tokens).sum()
--- a/crates/jb-policy/src/prefix_index.rs
+++ b/crates/jb-policy/src/prefix_index.rs
@@ -1,9 +1,9 @@
 //! Index of prompt prefixes to the engines that have them cached.
 //!
-//! It is updated by the cached-token count in each response, so it costs no extra messages. Two generations bound
-//! its memory: when the young one is full it becomes the old one, and entries of the previous old one that were
-//! not used since are dropped. An engine's epoch rises with each incarnation, which invalidates all entries of
-//! earlier incarnations without a search.
+//! It is updated by the cached-token count in each response, so it costs no extra messages. Two generations
+//! bound its memory: when the young one is full it becomes the old one, and entries of the previous old one
+//! that were not used since are dropped. An engine's epoch rises with each incarnation, which invalidates all
+//! entries of earlier incarnations without a search.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hasher};
@@ -129,8 +129,8 @@
         self.len() == 0
     }
 
-    /// Returns the longest cached prefix of a prompt at each engine that has any; `is_valid` selects the entries
-    /// that are still valid.
+    /// Returns the longest cached prefix of a prompt at each engine that has any; `is_valid` selects the
+    /// entries that are still valid.
     pub fn lookup(&self, chain: &Chain, is_valid: impl Fn(&Holder) -> bool) -> Vec<Match> {
         let mut found: Vec<Match> = Vec::with_capacity(MAX_HOLDERS);
         for prefix in chain.prefixes.iter().rev() {
--- a/crates/jb-policy/src/signal.rs
+++ b/crates/jb-policy/src/signal.rs
@@ -20,8 +20,8 @@
     values.any(|value| !NOT_DRAINING.contains(&value.trim()))
 }
 
-/// Returns the longest backoff that the values of a response's retry header request, if its status is one that
-/// requests backoff.
+/// Returns the longest backoff that the values of a response's retry header request, if its status is one
+/// that requests backoff.
 pub fn retry_after<'a>(status: u16, values: impl Iterator<Item = &'a str>) -> Option<Duration> {
     let longest = values.map(seconds).max();
     longest.filter(|_| BACKOFF_STATUSES.contains(&status))
--- a/crates/jb-policy/src/stream.rs
+++ b/crates/jb-policy/src/stream.rs
@@ -1,7 +1,7 @@
 //! Validation of an engine's response stream, frame by frame.
 //!
-//! Frames of other attempts are dropped. Token indexes must be consecutive, and only an explicit end frame with the
-//! correct count completes the response.
+//! Frames of other attempts are dropped. Token indexes must be consecutive, and only an explicit end frame
+//! with the correct count completes the response.
 
 use jb_protocol::engine::{Frame, Load};
 use jb_protocol::id;
--- a/crates/jb-policy/src/transfer.rs
+++ b/crates/jb-policy/src/transfer.rs
@@ -1,7 +1,7 @@
 //! Choice of the source from which an engine transfers the prompt segments that it doesn't have cached.
 //!
-//! A transfer is far cheaper than processing the segments again, and a miss at a store costs about a millisecond, so
-//! the store is queried even if it isn't known to have them.
+//! A transfer is far cheaper than processing the segments again, and a miss at a store costs about a
+//! millisecond, so the store is queried even if it isn't known to have them.
 
 /// Numbers of tokens in a prompt's leading shared segments that are expected to be cached, by place.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -16,7 +16,8 @@
     pub shared: u64,
     /// Whether a store is available.
     pub has_store: bool,
-    /// Whether the box receives every prompt's publication, so that its model of the engines' caches is accurate.
+    /// Whether the box receives every prompt's publication, so that its model of the engines' caches is
+    /// accurate.
     pub is_exact: bool,
 }
 
@@ -60,11 +61,12 @@
 /// Minimum number of missing tokens for a query to a store that isn't known to have them.
 const MIN_QUERY_TOKENS: u64 = 512;
 
-/// Minimum number of shared tokens for a query to a store regardless of what the engine is expected to have, since it
-/// may have evicted some.
+/// Minimum number of shared tokens for a query to a store regardless of what the engine is expected to have,
+/// since it may have evicted some.
 const MIN_SHARED_TOKENS: u64 = 64;
 
-/// Plans the transfer for a prompt by the caches that engines report, where a store may have more than is known.
+/// Plans the transfer for a prompt by the caches that engines report, where a store may have more than is
+/// known.
 pub fn plan_advised(cached: &CachedTokens) -> Plan {
     let CachedTokens {
         own,
@@ -95,7 +97,8 @@
         is_exact,
     } = *cached;
     let has_engine = engine >= own + MIN_TRANSFER_TOKENS;
-    // The store may have more than the box knows, but a transfer from an engine with known segments is certain.
+    // The store may have more than the box knows, but a transfer from an engine with known segments is
+    // certain.
     let prefers_engine = if is_exact {
         engine >= store
     } else {
--- a/crates/jb-policy/src/upstream.rs
+++ b/crates/jb-policy/src/upstream.rs
@@ -19,8 +19,8 @@
 /// Pause after an upstream has denied a request.
 const DENIAL_PAUSE: Duration = Duration::from_secs(1);
 
-/// Duration for which an upstream without incarnations, such as a plain service, counts as draining after its signal;
-/// it is limited because a successor may have the same name and address.
+/// Duration for which an upstream without incarnations, such as a plain service, counts as draining after its
+/// signal; it is limited because a successor may have the same name and address.
 const DRAIN_DURATION: Duration = Duration::from_secs(600);
 
 /// Changes of an upstream's state by the signals of a response.
@@ -203,14 +203,14 @@
         }
     }
 
-    /// Returns whether an index entry is still valid: made in the same incarnation, with fewer than `blocks` blocks
-    /// inserted into the cache since.
+    /// Returns whether an index entry is still valid: made in the same incarnation, with fewer than `blocks`
+    /// blocks inserted into the cache since.
     pub fn is_current(&self, holder: &Holder, blocks: u32) -> bool {
         holder.epoch == self.epoch && self.fill.wrapping_sub(holder.fill) < blocks
     }
 
-    /// Notes that it denied a request, because it is draining or has other weights; it receives no requests for a
-    /// while.
+    /// Notes that it denied a request, because it is draining or has other weights; it receives no requests
+    /// for a while.
     pub fn note_denial(&mut self, now: Moment) {
         self.backoff.pause(DENIAL_PAUSE, now);
     }
@@ -222,7 +222,8 @@
 
     /// Notes the incarnation that responds and returns whether it is a new one.
     ///
-    /// A new incarnation starts with an empty cache and no waiting work, so the state of the earlier one is reset.
+    /// A new incarnation starts with an empty cache and no waiting work, so the state of the earlier one is
+    /// reset.
     pub fn note_incarnation(&mut self, incarnation: id::Incarnation) -> bool {
         let before = self.incarnation.replace(incarnation);
         let is_new = before.is_some_and(|before| before != incarnation);
--- a/crates/jb-policy/src/weights.rs
+++ b/crates/jb-policy/src/weights.rs
@@ -12,7 +12,8 @@
 enum ReleaseTime {
     /// At this time on the box's clock.
     Moment(Moment),
-    /// This duration before a time, as reported by another box, for a version that was released before the box's start.
+    /// This duration before a time, as reported by another box, for a version that was released before the
+    /// box's start.
     Before(Moment, Duration),
     /// Before the box's start; no other box has reported the time yet.
     Unknown,
@@ -52,8 +53,8 @@
 
 /// Maximum number of versions that are kept; older ones are overdue anyway.
 const MAX_RELEASES: usize = 64;
-/// Fraction of the time for a replacement after which, from the box's start, weights are overdue if the release time
-/// is unknown: the release may have been just before the start or long ago.
+/// Fraction of the time for a replacement after which, from the box's start, weights are overdue if the
+/// release time is unknown: the release may have been just before the start or long ago.
 const UNKNOWN_FRACTION: f64 = 0.5;
 
 impl History {
@@ -102,13 +103,15 @@
             .is_some_and(|release| release.released == ReleaseTime::Unknown)
     }
 
-    /// Returns the versions with the time since their release, the newest first; those with unknown times are omitted.
+    /// Returns the versions with the time since their release, the newest first; those with unknown times are
+    /// omitted.
     pub fn ages(&self, now: Moment) -> impl Iterator<Item = (Version, Duration)> {
         let known = self.0.iter().rev();
         known.filter_map(move |release| Some((release.version, release.released.age(now)?)))
     }
 
-    /// Returns whether the weights `current` are overdue: `time` counts from the release of the next version after them.
+    /// Returns whether the weights `current` are overdue: `time` counts from the release of the next version
+    /// after them.
     pub fn overdue(&self, current: Version, now: Moment, time: Duration) -> Overdue {
         let Some(next) = self.0.iter().find(|release| release.version > current) else {
             return Overdue::No;
--- a/crates/jb-policy/tests/dissemination.rs
+++ b/crates/jb-policy/tests/dissemination.rs
@@ -17,7 +17,8 @@
     (0..HALLS).flat_map(move |_| (0..boxes / HALLS).map(Level::at))
 }
 
-/// Guards against all boxes calling the store and reading everything as soon as their relay nodes' copies are outdated.
+/// Guards against all boxes calling the store and reading everything as soon as their relay nodes' copies are
+/// outdated.
 #[test]
 fn few_boxes_call_the_store_when_relay_nodes_are_outdated() {
     for boxes in FLEETS {
@@ -36,7 +37,8 @@
     }
 }
 
-/// Guards against each box calling the store every 0.4 s in an outage, which used up the store's rate limit at its return.
+/// Guards against each box calling the store every 0.4 s in an outage, which used up the store's rate limit
+/// at its return.
 #[test]
 fn calls_in_a_long_outage_stay_below_one_per_box_in_two_seconds() {
     const OUTAGE: Duration = Duration::from_secs(60);
--- a/crates/jb-policy/tests/hall_reachability.rs
+++ b/crates/jb-policy/tests/hall_reachability.rs
@@ -1,4 +1,5 @@
-//! Avoidance of partitioned data halls, in a fleet with too many engines to detect a partition for each of them.
+//! Avoidance of partitioned data halls, in a fleet with too many engines to detect a partition for each of
+//! them.
 
 use std::time::Duration;
 
@@ -9,8 +10,8 @@
 const OTHERS: [&str; 5] = ["hall-b", "hall-c", "hall-d", "hall-e", "hall-f"];
 const NOW: Moment = Duration::from_secs(100);
 
-/// Guards against a refusal after four consecutive connection timeouts while engines of the own hall are free, as the
-/// engines of a prompt are spread over all halls.
+/// Guards against a refusal after four consecutive connection timeouts while engines of the own hall are
+/// free, as the engines of a prompt are spread over all halls.
 #[test]
 fn request_of_a_partitioned_hall_stays_there_after_timeouts_of_two_other_halls() {
     let mut reachability = HallReachability::default();
--- a/crates/jb-policy/tests/idempotency.rs
+++ b/crates/jb-policy/tests/idempotency.rs
@@ -1,5 +1,5 @@
-//! Idempotency records: whatever the interleaving of writers, and whichever responses are lost, a key is granted
-//! to one owner only.
+//! Idempotency records: whatever the interleaving of writers, and whichever responses are lost, a key is
+//! granted to one owner only.
 
 #![allow(clippy::expect_used)]
 
--- a/crates/jb-policy/tests/outage.rs
+++ b/crates/jb-policy/tests/outage.rs
@@ -22,8 +22,8 @@
 /// Tolerated silence at a heartbeat interval of 1.2 s.
 const TOLERATED: Duration = ms(2100);
 
-/// Classifies as a box whose own first response came at the end of its partition, with spans that others sent, each
-/// of them twice.
+/// Classifies as a box whose own first response came at the end of its partition, with spans that others
+/// sent, each of them twice.
 fn classify(received: &[Span]) -> Availability {
     let own = Span::at(PARTITION.until);
     let twice = received.iter().chain(received);
@@ -35,8 +35,9 @@
     Span::join(known, other, TOLERATED)
 }
 
-/// Guards against taking a loss of all other boxes' connections for 0.4 s during a partition of 11 s for an outage of
-/// the store, by which a box kept engines that had deregistered as if their registrations had expired.
+/// Guards against taking a loss of all other boxes' connections for 0.4 s during a partition of 11 s for an
+/// outage of the store, by which a box kept engines that had deregistered as if their registrations had
+/// expired.
 #[test]
 fn short_connection_loss_of_the_other_boxes_is_not_an_outage() {
     let before = join(Some(span(1_000, 15_000)), Span::at(ms(15_420)));
@@ -57,8 +58,9 @@
     );
 }
 
-/// Guards against a relay node that was partitioned and sends its hall a span that starts at its own return: the hall
-/// kept an engine that had deregistered 3.4 s before. Relay nodes exchange their spans, so it sends the joined one.
+/// Guards against a relay node that was partitioned and sends its hall a span that starts at its own return:
+/// the hall kept an engine that had deregistered 3.4 s before. Relay nodes exchange their spans, so it sends
+/// the joined one.
 #[test]
 fn partitioned_relay_node_sends_the_span_that_the_others_know() {
     let own = Span::at(ms(20_400));
@@ -67,7 +69,8 @@
     assert_eq!(classify(&[relay_node]), Availability::Available);
 }
 
-/// The last response to a box that is still partitioned is old, which doesn't show that the store was unavailable.
+/// The last response to a box that is still partitioned is old, which doesn't show that the store was
+/// unavailable.
 #[test]
 fn span_of_a_partitioned_box_proves_nothing_about_the_store() {
     assert_eq!(classify(&[span(2_000, 10_100)]), Availability::Unknown);
@@ -89,16 +92,16 @@
     assert_eq!(classify(&[]), Availability::Unknown);
 }
 
-/// Whatever spans the boxes have and exchange, an outage longer than the tolerated silence is never classified as
-/// available, and a shorter one never as unavailable.
+/// Whatever spans the boxes have and exchange, an outage longer than the tolerated silence is never
+/// classified as available, and a shorter one never as unavailable.
 #[test]
 fn no_combination_of_spans_hides_or_invents_an_outage() {
     fn holds(starts: Vec<u16>, partitions: Vec<(u16, u16)>, down_for: u16, length: u16) -> TestResult {
         if starts.is_empty() {
             return TestResult::discard();
         }
-        // The store is unavailable from `down` to `up`. Boxes call it every 700 ms, each from its own start, and
-        // some are partitioned for a time of their own.
+        // The store is unavailable from `down` to `up`. Boxes call it every 700 ms, each from its own start,
+        // and some are partitioned for a time of their own.
         let (down, up) = (ms(30_000), ms(30_000 + u64::from(down_for % 8_000)));
         let now = up + ms(1_500 + u64::from(length % 2_000));
         let answers = |start: u64, partition: Option<&(u16, u16)>| {
--- a/crates/jb-policy/tests/poison.rs
+++ b/crates/jb-policy/tests/poison.rs
@@ -1,7 +1,7 @@
 //! Attribution of engine crashes to poison requests by the evidence of boxes.
 //!
-//! A crashing engine fails 5 to 50 requests, of which one has caused the crash. That request is repeated twice a
-//! second, at any box, and boxes receive evidence of crashes in any order.
+//! A crashing engine fails 5 to 50 requests, of which one has caused the crash. That request is repeated
+//! twice a second, at any box, and boxes receive evidence of crashes in any order.
 
 use std::time::Duration;
 
@@ -170,13 +170,14 @@
     check(500, holds);
 }
 
-/// Number of attempts of an innocent request: its caller sends it twice, and each time two engines receive it.
+/// Number of attempts of an innocent request: its caller sends it twice, and each time two engines receive
+/// it.
 const ATTEMPTS: u32 = 4;
 /// Fingerprints of the innocent requests.
 const INNOCENT: std::ops::Range<u128> = 100..130;
 
-/// Simulates up to five poison requests that are repeated, each at an engine of its own, together with innocent
-/// requests that are retried when their engine crashes; an engine runs one suspect at a time.
+/// Simulates up to five poison requests that are repeated, each at an engine of its own, together with
+/// innocent requests that are retried when their engine crashes; an engine runs one suspect at a time.
 fn simulate(seed: u64) -> (Vec<u128>, Ledger) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let poison: Vec<u128> = (0..rng.random_range(1..=5)).collect();
--- a/crates/jb-policy/tests/stream.rs
+++ b/crates/jb-policy/tests/stream.rs
@@ -1,4 +1,5 @@
-//! Whatever frames an engine sends, the caller receives tokens in order and without a gap, or the attempt fails.
+//! Whatever frames an engine sends, the caller receives tokens in order and without a gap, or the attempt
+//! fails.
 
 use jb_policy::stream::{Event, Reader};
 use jb_protocol::engine::{Frame, Load};
--- a/crates/jb-policy/tests/transfer.rs
+++ b/crates/jb-policy/tests/transfer.rs
@@ -51,8 +51,8 @@
     assert_plan(Origin::Store, 0, cached);
 }
 
-/// Guards against a query to a store that isn't known to have anything, which misses, so that the engine processes all
-/// segments again although another engine has some.
+/// Guards against a query to a store that isn't known to have anything, which misses, so that the engine
+/// processes all segments again although another engine has some.
 #[test]
 fn engine_with_some_segments_is_preferred_to_a_store_that_is_not_known_to_have_more() {
     let cached = CachedTokens {
@@ -85,7 +85,8 @@
     assert_plan(Origin::Nowhere, 0, cached);
 }
 
-/// Guards against an engine that has evicted segments unnoticed and processes them again although a store has them.
+/// Guards against an engine that has evicted segments unnoticed and processes them again although a store has
+/// them.
 #[test]
 fn store_is_queried_even_if_the_engine_is_expected_to_have_all_segments() {
     let cached = CachedTokens {
