--- a/crates/jb-policy/src/route/pool.rs
+++ b/crates/jb-policy/src/route/pool.rs
@@ -20,7 +20,7 @@
 use crate::retry_budget::{Budget, Config};
 use crate::signal::Signals;
 use crate::stream::Start;
-use crate::upstream::{Applied, Upstream};
+use crate::upstream::{Changes, Upstream};
 use crate::{Moment, cell};
 
 /// Prefixes tracked for every 8 blocks of an engine's cache.
@@ -70,7 +70,7 @@
         for config in service.upstreams.iter().filter(|u| u.hall == hall) {
             let known = self.upstreams.iter().find(|u| u.id == config.id);
             let mut upstream = known.cloned().unwrap_or_else(|| Upstream::new(config.id.clone()));
-            upstream.leaving.by_tree = config.leaving;
+            upstream.drain.by_tree = config.leaving;
             next.push(upstream);
         }
         let after: Vec<id::Upstream> = next.iter().map(|u| u.id.clone()).collect();
@@ -101,7 +101,7 @@
 
     /// Returns the shortest queueing time of the usable upstreams; [`Duration::MAX`] if there is none.
     pub fn min_wait(&self, now: Moment) -> Duration {
-        let usable = self.upstreams.iter().filter(|u| u.is_usable(now));
+        let usable = self.upstreams.iter().filter(|u| u.is_available(now));
         usable
             .map(|u| u.backlog.wait(Priority::Normal, now))
             .min()
@@ -184,7 +184,7 @@
     /// Returns the time until the first upstream that backs off or is rate-limited accepts requests again; `None`
     /// if there is none.
     fn next_available_after(&self, now: Moment) -> Option<Duration> {
-        let back = self.upstreams.iter().filter_map(|u| u.back_at(now)).min()?;
+        let back = self.upstreams.iter().filter_map(|u| u.available_at(now)).min()?;
         back.checked_sub(now).filter(|time| !time.is_zero())
     }
 
@@ -238,7 +238,7 @@
         signals: Signals,
         sent: Moment,
         now: Moment,
-    ) -> Option<Applied> {
+    ) -> Option<Changes> {
         Some(self.upstream_mut(id)?.apply_signals(signals, sent, now))
     }
 
--- a/crates/jb-policy/src/route/pool/score.rs
+++ b/crates/jb-policy/src/route/pool/score.rs
@@ -44,7 +44,7 @@
     fn still_holds(&self, holder: &Holder) -> bool {
         let blocks = f64::from(self.service.cache_tokens / TOKENS_PER_BLOCK) * MAX_CACHE_REFILLS;
         let upstream = self.upstreams.get(holder.engine as usize);
-        upstream.is_some_and(|u| u.still_holds(holder, blocks as u32))
+        upstream.is_some_and(|u| u.is_current(holder, blocks as u32))
     }
 
     /// Estimates the cost of every upstream that the request may be sent to.
@@ -64,11 +64,11 @@
     /// Returns those of the upstreams that may get the request now.
     fn eligible(&self, query: &Query, mut indexes: Vec<usize>, now: Moment) -> Vec<usize> {
         // If all upstreams are ejected after failures, trying one is better than rejecting the request.
-        let usable = |index: &usize| self.upstreams[*index].is_usable(now);
+        let usable = |index: &usize| self.upstreams[*index].is_available(now);
         if indexes.iter().any(usable) {
             indexes.retain(usable);
         } else {
-            indexes.retain(|index| self.upstreams[*index].is_willing(now));
+            indexes.retain(|index| self.upstreams[*index].accepts_requests(now));
         }
         // Every upstream is tried before one is tried again.
         let untried = |index: &usize| !query.tried.contains(&self.upstreams[*index].id);
--- a/crates/jb-policy/tests/route.rs
+++ b/crates/jb-policy/tests/route.rs
@@ -142,11 +142,11 @@
     for signal in 0..3 {
         let mut pool = Pool::new(&service(2, ""), "h");
         let home = choose(&mut pool, &query("ann", 1), at(0)).upstream;
-        let leaving = &mut pool.upstream_mut(&home).expect("a known upstream").leaving;
+        let leaving = &mut pool.upstream_mut(&home).expect("a known upstream").drain;
         match signal {
             0 => leaving.by_tree = true,
             1 => leaving.by_list = true,
-            _ => leaving.by_itself = true,
+            _ => leaving.by_report = true,
         }
         assert_ne!(choose(&mut pool, &query("ann", 1), at(10)).upstream, home);
     }
@@ -162,9 +162,9 @@
     assert_ne!(choose(&mut pool, &query("ann", 1), at(10)).upstream, home);
     let later = at(600);
     let upstream = pool.upstream_mut(&home).expect("a known upstream");
-    assert!(upstream.is_usable(later));
+    assert!(upstream.is_available(later));
     upstream.health.note_sent();
-    assert!(!upstream.is_usable(later));
+    assert!(!upstream.is_available(later));
     assert_eq!(pool.record_success(&home), Change::Returned);
 }
 
