--- a/crates/jb-policy/src/route/pool/score.rs
+++ b/crates/jb-policy/src/route/pool/score.rs
@@ -8,8 +8,8 @@
 use super::{Pool, cell_count};
 use crate::Moment;
 use crate::cell;
-use crate::knowledge::{Holder, Known};
 use crate::prefix::Chain;
+use crate::prefix_index::{Holder, Match};
 use crate::rendezvous;
 use crate::route::Query;
 
@@ -50,7 +50,7 @@
     /// Estimates the cost of every upstream that the request may be sent to.
     pub(super) fn score_all(&self, query: &Query, now: Moment) -> Vec<Score> {
         let known = self
-            .knowledge
+            .prefix_index
             .lookup(&query.chain, |holder| self.still_holds(holder));
         let mut indexes = self.eligible(query, self.candidates(query, &known), now);
         if indexes.is_empty() {
@@ -80,7 +80,7 @@
 
     /// Returns the rendezvous owner of the root prefix if no engine is known to have cached a prefix of the prompt, as
     /// on a box that has just taken over a cell.
-    fn owner(&self, chain: &Chain, known: &[Known], indexes: &[usize]) -> Option<usize> {
+    fn owner(&self, chain: &Chain, known: &[Match], indexes: &[usize]) -> Option<usize> {
         if !known.is_empty() {
             return None;
         }
@@ -90,7 +90,7 @@
 
     /// Returns the engines of the prompt's cell, those known to have cached a prefix of it, and a few of other cells
     /// in case the cell is overloaded.
-    fn candidates(&self, query: &Query, known: &[Known]) -> Vec<usize> {
+    fn candidates(&self, query: &Query, known: &[Match]) -> Vec<usize> {
         if self.cells.len() <= 1 || self.service.policy != Policy::Junctionbend {
             return (0..self.upstreams.len()).collect();
         }
@@ -116,7 +116,7 @@
         &self,
         index: usize,
         query: &Query,
-        known: &[Known],
+        known: &[Match],
         owner: Option<usize>,
         now: Moment,
     ) -> Score {
