--- a/crates/jb-daemon/src/site.rs
+++ b/crates/jb-daemon/src/site.rs
@@ -20,7 +20,7 @@
     let engines = Rc::new(jb_site::Engines::default());
     let parts = Parts {
         settings,
-        names: jb_site::NAMES,
+        header_names: jb_site::NAMES,
         store,
         engines,
         logger,
--- a/crates/jb-relay/src/admission.rs
+++ b/crates/jb-relay/src/admission.rs
@@ -101,10 +101,10 @@
 /// # Errors
 /// The refusal.
 pub fn admit(core: &Core, query: &Query, arrived: Moment) -> Result<AdmittedRequest, Refusal> {
-    let names = &core.names;
+    let names = &core.header_names;
     let id = query
         .headers
-        .text(names.request)
+        .text(names.request_id)
         .filter(|id| !id.is_empty())
         .ok_or(Refusal::NoId)?;
     let configuration = core.configuration().ok_or(Refusal::NotReady)?;
@@ -154,8 +154,11 @@
     let deadline = arrived + wait.unwrap_or(route.timeout);
     let until = deadline.min(arrived + route.timeout);
     let model = query.headers.text(names.model).map(str::to_owned);
-    let prompt = parts(query.headers.text(names.parts).unwrap_or_default(), &salt);
-    let size = query.headers.text(names.size).and_then(sizes);
+    let prompt = parts(
+        query.headers.text(names.prompt_segments).unwrap_or_default(),
+        &salt,
+    );
+    let size = query.headers.text(names.token_counts).and_then(sizes);
     let out = size.map_or(DEFAULT_OUT, |(_, out)| out);
     let quota = customer.as_ref().and_then(|customer| customer.quota);
     let counts = quota.map(|quota| match quota.unit {
--- a/crates/jb-relay/src/attempt.rs
+++ b/crates/jb-relay/src/attempt.rs
@@ -131,7 +131,7 @@
 
 /// The head as the upstream gets it.
 fn head(core: &Core, instance: &str, entry: &Entry, message: &Message<'_>) -> BytesMut {
-    let names = &core.names;
+    let names = &core.header_names;
     let request = message.request;
     let left = request
         .until
@@ -142,7 +142,7 @@
     let last = message.last_event.map(|last| last.to_string());
     let mut own: Vec<(&[u8], &[u8])> = vec![
         (names.deadline.as_bytes(), left.as_bytes()),
-        (names.incarnation.as_bytes(), instance.as_bytes()),
+        (names.expected_instance.as_bytes(), instance.as_bytes()),
     ];
     if let Some(customer) = &request.customer {
         own.push((names.customer.as_bytes(), customer.as_bytes()));
@@ -154,14 +154,14 @@
     let source = message.source.map(|source| source.to_string());
     let store = message.store.map(|store| store.to_string());
     if let Some(version) = &version {
-        own.push((names.weights.as_bytes(), version.as_bytes()));
-        own.push((names.salt.as_bytes(), salt.as_bytes()));
+        own.push((names.expected_weights.as_bytes(), version.as_bytes()));
+        own.push((names.cache_salt.as_bytes(), salt.as_bytes()));
         own.push((names.urgency.as_bytes(), urgency.as_bytes()));
         if let Some(source) = &source {
-            own.push((names.import.as_bytes(), source.as_bytes()));
+            own.push((names.kv_source.as_bytes(), source.as_bytes()));
         }
         if let Some(store) = &store {
-            own.push((names.export.as_bytes(), store.as_bytes()));
+            own.push((names.kv_target.as_bytes(), store.as_bytes()));
         }
     }
     if let Some(last) = &last {
@@ -230,8 +230,8 @@
         if answer.status < 200 {
             continue;
         }
-        let head = signal::read(&core.names, &answer);
-        if answer.headers.text(core.names.request) == Some(request.id.as_str()) {
+        let head = signal::read(&core.header_names, &answer);
+        if answer.headers.text(core.header_names.request_id) == Some(request.id.as_str()) {
             unknown_signals::note(core, instance, &answer.headers);
             signal::apply(core, instance, request.model.as_deref(), &head, sent);
             return Ok((answer, head));
--- a/crates/jb-relay/src/core.rs
+++ b/crates/jb-relay/src/core.rs
@@ -18,9 +18,9 @@
 
 use crate::cache_store::CacheStores;
 use crate::configuration::Configuration;
+use crate::header_names::HeaderNames;
 use crate::metrics::Metrics;
 use crate::mirror::Mirror;
-use crate::names::Names;
 use crate::peers::{
     Accounts, Book, Gathered, Loads, Log, Notices, Permit, Quotas, RateLimits, Reachability, Relayed,
     RoundTrips, Source, Transfers,
@@ -50,7 +50,7 @@
     /// Settings of the box.
     pub settings: Settings,
     /// Header names of the platform.
-    pub names: Names,
+    pub header_names: HeaderNames,
     /// Weights of the choice.
     pub tuning: Tuning,
     /// Store of the platform.
@@ -139,7 +139,7 @@
     /// Settings.
     pub settings: Settings,
     /// Header names.
-    pub names: Names,
+    pub header_names: HeaderNames,
     /// Store.
     pub store: Rc<dyn Store>,
     /// Control calls to engines.
@@ -153,7 +153,7 @@
     pub fn new(parts: Parts) -> Shared {
         Rc::new(Self {
             settings: parts.settings,
-            names: parts.names,
+            header_names: parts.header_names,
             tuning: Tuning::default(),
             store: parts.store,
             engines: parts.engines,
--- a/crates/jb-relay/src/exchange/run.rs
+++ b/crates/jb-relay/src/exchange/run.rs
@@ -248,7 +248,7 @@
         let request = self.message.request;
         let status = reply.answer.status;
         let success = (200..300).contains(&status);
-        let signed = reply.answer.headers.get(core.names.signature).is_some();
+        let signed = reply.answer.headers.get(core.header_names.signature).is_some();
         if success && (!signed || reply.answer.headers.get("content-encoding").is_some()) {
             self.blame(
                 instance,
--- a/crates/jb-relay/src/front.rs
+++ b/crates/jb-relay/src/front.rs
@@ -218,7 +218,10 @@
 }
 
 async fn turn_away(core: &Shared, client: &mut Connection, query: &Query, refusal: Refusal) -> bool {
-    let id = query.headers.text(core.names.request).unwrap_or_default();
+    let id = query
+        .headers
+        .text(core.header_names.request_id)
+        .unwrap_or_default();
     let status = refusal.status();
     core.metrics.ended(refusal.name(), status);
     emit!(core.logger, info, event::REQUEST_REFUSED, "request" => id, "status" => status,
@@ -250,7 +253,7 @@
     keep_alive: bool,
 ) -> bool {
     let keep_alive = keep_alive && !core.stop.is_stopping();
-    let lines = [(core.names.request, id)];
+    let lines = [(core.header_names.request_id, id)];
     let lines = if id.is_empty() { &lines[..0] } else { &lines[..] };
     client
         .send(&own_answer(status, lines, after, keep_alive))
--- a/crates/jb-relay/src/names.rs
+++ b/crates/jb-relay/src/header_names.rs
@@ -2,17 +2,17 @@
 
 /// Header names, given by the platform's adapter.
 #[derive(Clone, Copy, Debug)]
-pub struct Names {
+pub struct HeaderNames {
     /// Id of a request; an answer carries it back.
-    pub request: &'static str,
+    pub request_id: &'static str,
     /// Milliseconds that the receiver may take.
     pub deadline: &'static str,
     /// Model of a request.
     pub model: &'static str,
     /// Prompt tokens and the most tokens out, as `IN,OUT`.
-    pub size: &'static str,
+    pub token_counts: &'static str,
     /// Parts of the prompt, as `ID:TOKENS` joined by commas.
-    pub parts: &'static str,
+    pub prompt_segments: &'static str,
     /// Last event that the receiver of a stream has.
     pub last_event: &'static str,
     /// Proof that an engine made the answer.
@@ -20,11 +20,11 @@
     /// Customer of a request.
     pub customer: &'static str,
     /// Incarnation of the upstream that a request is meant for.
-    pub incarnation: &'static str,
+    pub expected_instance: &'static str,
     /// Incarnation that answers.
-    pub answering: &'static str,
+    pub answering_instance: &'static str,
     /// Version of the weights that a request is meant for.
-    pub weights: &'static str,
+    pub expected_weights: &'static str,
     /// Signal that an upstream hasn't run the request.
     pub not_run: &'static str,
     /// Signal that an upstream drains.
@@ -36,15 +36,15 @@
     /// Prefix of the names of all signals of upstreams.
     pub signal_prefix: &'static str,
     /// Text under which an engine keeps a prompt's parts.
-    pub salt: &'static str,
+    pub cache_salt: &'static str,
     /// Urgency of a request at an engine, 0 first.
     pub urgency: &'static str,
     /// Versions of the weights behind an answer.
-    pub made_by: &'static str,
+    pub answer_weights: &'static str,
     /// Engine or store from which cached segments are transferred first.
-    pub import: &'static str,
+    pub kv_source: &'static str,
     /// Store to which parts are sent once they have been read.
-    pub export: &'static str,
+    pub kv_target: &'static str,
     /// Every header that only a box may set, in lower case.
     pub reserved: &'static [&'static str],
 }
--- a/crates/jb-relay/src/lib.rs
+++ b/crates/jb-relay/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A request passes through byte for byte; its facts (route, customer, prompt
 //! parts, deadline) travel beside it. This crate knows its platform only by
-//! [`port`] and [`names`]; the decisions are in `jb-policy`.
+//! [`port`] and [`header_names`]; the decisions are in `jb-policy`.
 
 pub mod accept;
 pub mod admission;
@@ -16,12 +16,12 @@
 pub mod exchange;
 pub mod follow;
 pub mod front;
+pub mod header_names;
 pub mod http;
 pub mod leader;
 pub mod link;
 pub mod metrics;
 pub mod mirror;
-pub mod names;
 pub mod peers;
 pub mod port;
 pub mod quarantine;
--- a/crates/jb-relay/src/signal.rs
+++ b/crates/jb-relay/src/signal.rs
@@ -12,8 +12,8 @@
 use jb_protocol::{emit, event};
 
 use crate::core::Core;
+use crate::header_names::HeaderNames;
 use crate::http::Answer;
-use crate::names::Names;
 use crate::peers;
 use crate::upstream::Instance;
 
@@ -38,7 +38,7 @@
 }
 
 /// Parses the head of a response.
-pub fn read(names: &Names, answer: &Answer) -> Head {
+pub fn read(names: &HeaderNames, answer: &Answer) -> Head {
     let headers = &answer.headers;
     Head {
         signals: Signals {
@@ -48,10 +48,10 @@
         },
         not_run: headers.get(names.not_run).is_some() || answer.status == MISDIRECTED,
         answering: headers
-            .text(names.answering)
+            .text(names.answering_instance)
             .filter(|_| answer.status == MISDIRECTED)
             .map(str::to_owned),
-        weights: headers.number(names.made_by),
+        weights: headers.number(names.answer_weights),
         closes_after: closes_after(answer),
     }
 }
--- a/crates/jb-relay/src/unknown_signals.rs
+++ b/crates/jb-relay/src/unknown_signals.rs
@@ -50,11 +50,11 @@
 
 /// Name of a header in lower case, if it is a signal that this version doesn't know.
 fn unknown(core: &Core, name: &[u8]) -> Option<String> {
-    let prefix = core.names.signal_prefix;
+    let prefix = core.header_names.signal_prefix;
     let is_signal = name
         .get(..prefix.len())
         .is_some_and(|start| start.eq_ignore_ascii_case(prefix.as_bytes()));
-    let known = [core.names.draining, core.names.rate_limit];
+    let known = [core.header_names.draining, core.header_names.rate_limit];
     let is_known = known
         .iter()
         .any(|known| name.eq_ignore_ascii_case(known.as_bytes()));
