--- a/crates/jb-daemon/src/site.rs
+++ b/crates/jb-daemon/src/site.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::rc::Rc;
 
-use jb_relay::core::Parts;
+use jb_relay::core::Components;
 use jb_relay::start;
 use miette::IntoDiagnostic as _;
 
@@ -18,7 +18,7 @@
     let Log { logger, guard } = log::start(&settings.id, &settings.hall);
     let store = Rc::new(jb_site::Store::new(settings.store_address));
     let engines = Rc::new(jb_site::Engines::default());
-    let parts = Parts {
+    let parts = Components {
         settings,
         header_names: jb_site::NAMES,
         store,
--- a/crates/jb-relay/src/admission.rs
+++ b/crates/jb-relay/src/admission.rs
@@ -108,7 +108,7 @@
         .filter(|id| !id.is_empty())
         .ok_or(Refusal::NoId)?;
     let configuration = core.configuration().ok_or(Refusal::NotReady)?;
-    let age = core.age().ok_or(Refusal::NotReady)?;
+    let age = core.state_age().ok_or(Refusal::NotReady)?;
     // What is missing here may be in a configuration that this box doesn't have yet.
     let unsure = age > core.settings.bounds.max_config_delay;
     let missing = |refusal: Refusal| if unsure { Refusal::Stale } else { refusal };
--- a/crates/jb-relay/src/attempt.rs
+++ b/crates/jb-relay/src/attempt.rs
@@ -98,7 +98,7 @@
             return Outcome::Unsent(why.to_string());
         }
     };
-    if !core.takes_requests(instance, permit) {
+    if !core.accepts_requests(instance, permit) {
         link::give(core, link, None);
         return Outcome::Withdrawn;
     }
@@ -112,7 +112,9 @@
     match own_answer(core, instance, &mut link, message.request, sent, &mut clean).await {
         Ok((answer, head)) => {
             if entry.hall != core.settings.hall {
-                core.reach.borrow_mut().note_reached(&entry.hall, core.now());
+                core.hall_reachability
+                    .borrow_mut()
+                    .note_reached(&entry.hall, core.now());
             }
             judge(core, answer, &head, link, clean).await
         }
@@ -123,7 +125,7 @@
 /// Notes a connection to another data hall that timed out. A refused one shows that the hall is reachable.
 fn note_unreached(core: &Core, entry: &Entry, instance: &Instance, why: &link::Error) {
     if entry.hall != core.settings.hall && matches!(why, link::Error::Silent(_)) {
-        core.reach
+        core.hall_reachability
             .borrow_mut()
             .note_silent(&entry.hall, instance.name(), core.now());
     }
--- a/crates/jb-relay/src/cache_scan.rs
+++ b/crates/jb-relay/src/cache_scan.rs
@@ -26,7 +26,7 @@
 /// Scans all engines once, as soon as the box knows them. Not in a large fleet: each scan holds up an
 /// engine's work and takes a connection.
 pub async fn run(core: Shared) {
-    while core.age().is_none() {
+    while core.state_age().is_none() {
         sleep(LOOK).await;
     }
     peers::list(&core);
--- a/crates/jb-relay/src/core.rs
+++ b/crates/jb-relay/src/core.rs
@@ -38,7 +38,7 @@
 
 /// Where news of the store come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Origin {
+pub enum UpdateOrigin {
     /// The store itself.
     Store,
     /// Another box.
@@ -66,18 +66,18 @@
     /// Configuration in force; `None` before the first.
     pub configuration: RefCell<Option<Rc<Configuration>>>,
     /// When the call was sent whose answer proves what is in force.
-    pub proven: Cell<Option<Moment>>,
+    pub verified_at: Cell<Option<Moment>>,
     /// The same without updates of other boxes while the own path to the store was cut.
-    pub proven_directly: Cell<Option<Moment>>,
+    pub verified_directly_at: Cell<Option<Moment>>,
     /// Span in which the store is known to have answered this box or others, but for silences that
     /// cost no entry.
-    pub store_seen: Cell<Option<Span>>,
+    pub store_uptime: Cell<Option<Span>>,
     /// The last restore of the store since the box's start.
-    pub restored: Cell<Option<Restore>>,
+    pub last_restore: Cell<Option<Restore>>,
     /// Era of the store in which everything is known to have been written again.
-    pub settled: Cell<Option<Era>>,
+    pub settled_era: Cell<Option<Era>>,
     /// Where the last news of the store came from; `None` while the own calls fail.
-    pub news_from: Cell<Option<Origin>>,
+    pub update_origin: Cell<Option<UpdateOrigin>>,
     /// Upstreams.
     pub upstreams: RefCell<Registry>,
     /// Shared stores of KV cache.
@@ -87,7 +87,7 @@
     /// Everything that the store holds.
     pub mirror: RefCell<Mirror>,
     /// Items that the boxes keep in the store.
-    pub own: RefCell<BTreeMap<String, Change>>,
+    pub box_items: RefCell<BTreeMap<String, Change>>,
     /// Port for messages between boxes and for transfers.
     pub peer_port: OnceCell<u16>,
     /// When the own address was last written to the store.
@@ -101,7 +101,7 @@
     /// Places that this box asks other boxes for.
     pub accounts: Accounts,
     /// Data halls that this box can't connect to.
-    pub reach: RefCell<Reach>,
+    pub hall_reachability: RefCell<Reach>,
     /// Boxes that reach each other.
     pub reachability: RefCell<Reachability>,
     /// Customers' limits.
@@ -119,23 +119,23 @@
     /// What is to be broadcast at once.
     pub notices: RefCell<Notices>,
     /// Latest changes of the store, for other boxes.
-    pub log: RefCell<Log>,
+    pub change_log: RefCell<Log>,
     /// News that another box is asked for.
     pub relayed: Relayed,
     /// Transfers to other boxes.
     pub transfers: Transfers,
     /// Retry budget of each service.
-    pub budgets: RefCell<HashMap<id::Service, Budget>>,
+    pub retry_budgets: RefCell<HashMap<id::Service, Budget>>,
     /// Reading speed of each service's engines.
-    pub paces: RefCell<HashMap<id::Service, Pace>>,
+    pub prefill_rates: RefCell<HashMap<id::Service, Pace>>,
     /// Bytes of request bodies held.
-    pub held: Cell<usize>,
+    pub held_body_bytes: Cell<usize>,
     /// The clock.
     pub clock: Clock,
 }
 
 /// What a box is made of.
-pub struct Parts {
+pub struct Components {
     /// Settings.
     pub settings: Settings,
     /// Header names.
@@ -150,35 +150,35 @@
 
 impl Core {
     /// Puts the parts of a box together.
-    pub fn new(parts: Parts) -> Shared {
+    pub fn new(components: Components) -> Shared {
         Rc::new(Self {
-            settings: parts.settings,
-            header_names: parts.header_names,
+            settings: components.settings,
+            header_names: components.header_names,
             tuning: Tuning::default(),
-            store: parts.store,
-            engines: parts.engines,
-            logger: parts.logger,
+            store: components.store,
+            engines: components.engines,
+            logger: components.logger,
             metrics: Metrics::default(),
             stop: Stop::default(),
             configuration: RefCell::default(),
-            proven: Cell::default(),
-            proven_directly: Cell::default(),
-            store_seen: Cell::default(),
-            restored: Cell::default(),
-            settled: Cell::default(),
-            news_from: Cell::default(),
+            verified_at: Cell::default(),
+            verified_directly_at: Cell::default(),
+            store_uptime: Cell::default(),
+            last_restore: Cell::default(),
+            settled_era: Cell::default(),
+            update_origin: Cell::default(),
             upstreams: RefCell::default(),
             cache_stores: RefCell::default(),
             weights: RefCell::default(),
             mirror: RefCell::default(),
-            own: RefCell::default(),
+            box_items: RefCell::default(),
             peer_port: OnceCell::new(),
             address_written: Cell::default(),
             addresses_changed: Cell::default(),
             book: RefCell::default(),
             round_trips: RoundTrips::default(),
             accounts: Accounts::default(),
-            reach: RefCell::default(),
+            hall_reachability: RefCell::default(),
             reachability: RefCell::default(),
             quotas: Quotas::default(),
             rate_limits: RateLimits::default(),
@@ -187,12 +187,12 @@
             loads: RefCell::default(),
             gathered: RefCell::default(),
             notices: RefCell::default(),
-            log: RefCell::default(),
+            change_log: RefCell::default(),
             relayed: Relayed::default(),
             transfers: Transfers::default(),
-            budgets: RefCell::default(),
-            paces: RefCell::default(),
-            held: Cell::default(),
+            retry_budgets: RefCell::default(),
+            prefill_rates: RefCell::default(),
+            held_body_bytes: Cell::default(),
             clock: Clock::start(),
         })
     }
@@ -203,29 +203,31 @@
     }
 
     /// Age of what the box knows; `None` when it knows nothing.
-    pub fn age(&self) -> Option<Duration> {
-        self.proven.get().map(|at| self.now().saturating_sub(at))
+    pub fn state_age(&self) -> Option<Duration> {
+        self.verified_at.get().map(|at| self.now().saturating_sub(at))
     }
 
     /// Time for which the own path to the store has shown nothing; `None` when it never has.
-    pub fn path_age(&self) -> Option<Duration> {
-        self.proven_directly.get().map(|at| self.now().saturating_sub(at))
+    pub fn direct_state_age(&self) -> Option<Duration> {
+        self.verified_directly_at
+            .get()
+            .map(|at| self.now().saturating_sub(at))
     }
 
     /// Silence of the store in which no entry of an upstream lapses.
-    pub fn harmless_silence(&self) -> Duration {
+    pub fn tolerated_outage(&self) -> Duration {
         outage::harmless(self.settings.bounds.heartbeat_interval)
     }
 
     /// Takes a span in which the store answered this box or another one.
     pub fn note_store_seen(&self, span: Span) {
-        let known = Span::join(self.store_seen.get(), span, self.harmless_silence());
-        self.store_seen.set(Some(known));
+        let known = Span::join(self.store_uptime.get(), span, self.tolerated_outage());
+        self.store_uptime.set(Some(known));
     }
 
     /// Returns whether an instance still accepts a request that was placed there: its signals may have changed
     /// since it was chosen and the permit was acquired.
-    pub fn takes_requests(&self, instance: &Instance, permit: Permit) -> bool {
+    pub fn accepts_requests(&self, instance: &Instance, permit: Permit) -> bool {
         let upstreams = self.upstreams.borrow();
         upstreams.instance(instance).is_some_and(|upstream| {
             let permitted = permit == Permit::Granted || upstream.limit.rate().is_none();
@@ -234,8 +236,8 @@
     }
 
     /// Whether the box knows what the store holds, however old that may be.
-    pub fn knows_store(&self) -> bool {
-        self.log.borrow().revision() != Revision::default()
+    pub fn has_store_state(&self) -> bool {
+        self.change_log.borrow().revision() != Revision::default()
     }
 
     /// Returns whether it takes several calls to read all that the store holds.
@@ -245,19 +247,19 @@
 
     /// Era of the store by the last update.
     pub fn era(&self) -> Era {
-        self.log.borrow().revision().era
+        self.change_log.borrow().revision().era
     }
 
     /// The last restore of the store, while what it has lost may not be written again.
     pub fn recent_restore(&self) -> Option<Restore> {
         let now = self.now();
-        let restore = self.restored.get().filter(|restore| now < restore.ends());
+        let restore = self.last_restore.get().filter(|restore| now < restore.ends());
         restore.filter(|restore| !self.is_settled(restore.era))
     }
 
     /// Notes that the store has been restored.
     pub fn note_restore(&self, era: Era) {
-        self.restored.set(Some(Restore {
+        self.last_restore.set(Some(Restore {
             era,
             noticed: self.now(),
             proven: self.keys_proven(),
@@ -268,7 +270,7 @@
     pub fn note_first_answer(&self, era: Era) {
         let may_be_restored = era > 0 && !self.settings.is_first_start;
         if may_be_restored {
-            self.restored.set(Some(Restore {
+            self.last_restore.set(Some(Restore {
                 era,
                 noticed: self.now(),
                 proven: None,
@@ -278,7 +280,7 @@
 
     /// Returns whether everything has been written again since the restore that began an era.
     pub fn is_settled(&self, era: Era) -> bool {
-        self.settled.get() >= Some(era)
+        self.settled_era.get() >= Some(era)
     }
 
     /// Age of what the box knows of keys; `None` when it knows nothing.
@@ -289,8 +291,8 @@
     /// When what the box knows of keys was last proven. What a restored store showed before everything was
     /// written again doesn't prove that a key still holds: it may lack the revocation.
     fn keys_proven(&self) -> Option<Moment> {
-        let proven = self.proven.get();
-        match self.restored.get() {
+        let proven = self.verified_at.get();
+        match self.last_restore.get() {
             Some(restore) if !self.is_settled(restore.era) && proven < Some(restore.ends()) => restore.proven,
             _ => proven,
         }
@@ -302,14 +304,14 @@
     }
 
     /// Counts a new request of a service.
-    pub fn earn(&self, service: &str) {
-        let mut budgets = self.budgets.borrow_mut();
+    pub fn count_request(&self, service: &str) {
+        let mut budgets = self.retry_budgets.borrow_mut();
         let budget = budgets.entry(service.to_owned()).or_default();
         budget.request(self.now(), self.settings.bounds.retry_window);
     }
 
     /// Takes one send beyond the first from a service's budget.
-    pub fn spend(&self, service: &str) -> bool {
+    pub fn take_retry(&self, service: &str) -> bool {
         let bounds = &self.settings.bounds;
         let bound = Bound {
             ratio: bounds.retry_ratio,
@@ -317,7 +319,7 @@
             window: bounds.retry_window,
         };
         let boxes = self.book.borrow().boxes();
-        let mut budgets = self.budgets.borrow_mut();
+        let mut budgets = self.retry_budgets.borrow_mut();
         let spent = budgets
             .entry(service.to_owned())
             .or_default()
--- a/crates/jb-relay/src/exchange/count.rs
+++ b/crates/jb-relay/src/exchange/count.rs
@@ -57,7 +57,7 @@
         self.begun.get_or_insert(self.core.now());
         if self.waiting > 0 {
             let took = self.core.now().saturating_sub(self.sent);
-            let mut paces = self.core.paces.borrow_mut();
+            let mut paces = self.core.prefill_rates.borrow_mut();
             paces
                 .entry(service.to_owned())
                 .or_default()
--- a/crates/jb-relay/src/exchange/place.rs
+++ b/crates/jb-relay/src/exchange/place.rs
@@ -87,7 +87,7 @@
 
 /// Data halls that this box can't connect to.
 fn avoided(core: &Core) -> Avoided {
-    let reach = core.reach.borrow();
+    let reach = core.hall_reachability.borrow();
     if reach.is_clear() {
         // The usual case, in which a request need not count the boxes that are reachable.
         return Avoided::None;
@@ -134,7 +134,7 @@
 /// Weights of the choice, with what is known of the service's engines.
 pub(super) fn tuning(core: &Core, request: &AdmittedRequest) -> Tuning {
     let pace = core
-        .paces
+        .prefill_rates
         .borrow()
         .get(&request.service)
         .copied()
@@ -169,7 +169,7 @@
 /// Whether another upstream takes a request whose upstream is silent: one is open, and the
 /// retry budget has granted the send.
 pub(super) fn goes_on(core: &Core, request: &AdmittedRequest, body: &Bytes, tried: &[Instance]) -> bool {
-    choose(core, request, body, tried, Among::All).is_some() && core.spend(&request.service)
+    choose(core, request, body, tried, Among::All).is_some() && core.take_retry(&request.service)
 }
 
 /// When the first upstream is back, where all that a new try of the request could go to rest.
--- a/crates/jb-relay/src/exchange/run.rs
+++ b/crates/jb-relay/src/exchange/run.rs
@@ -98,7 +98,7 @@
     /// Runs the request to its end. Everything but the answer itself is left to the caller.
     pub async fn run(&mut self, client: &mut Connection) -> Ending {
         let request = self.message.request;
-        self.core.earn(&request.service);
+        self.core.count_request(&request.service);
         let mut why = "no_upstream";
         loop {
             if self.left().is_zero() {
@@ -112,7 +112,7 @@
                 continue;
             };
             let paid = std::mem::take(&mut self.paid) || self.sends == 0;
-            if !paid && !self.core.spend(&request.service) {
+            if !paid && !self.core.take_retry(&request.service) {
                 return self.give_up("retry_budget");
             }
             match self.attempt(choice, permit, client).await {
@@ -258,7 +258,7 @@
             return Err("spoiled");
         }
         let again = status >= 500 && request.route.is_retryable() && self.runs < request.route.max_attempts;
-        if again && self.core.spend(&request.service) {
+        if again && self.core.take_retry(&request.service) {
             // Without budget the caller gets the engine's failure instead.
             self.paid = true;
             emit!(core.logger, info, event::ATTEMPT_FAILED, "request" => &request.id,
--- a/crates/jb-relay/src/follow/facts.rs
+++ b/crates/jb-relay/src/follow/facts.rs
@@ -66,7 +66,7 @@
         }
         DecodedItem::Weights(named) => {
             // The release may have been at any time since the last update.
-            let earliest = core.proven.get();
+            let earliest = core.verified_at.get();
             let mut weights = core.weights.borrow_mut();
             let history = weights.entry(named.model.clone()).or_default();
             if history.note(named.version, earliest) {
@@ -167,7 +167,7 @@
 }
 
 fn own(core: &Core, item: Change) {
-    let mut own = core.own.borrow_mut();
+    let mut own = core.box_items.borrow_mut();
     let known = own.get(&item.key);
     let newer = known.is_none_or(|known| known.revision < item.revision);
     // A box that a restored store lacks is still at its address, and writes it again.
@@ -177,7 +177,7 @@
             core.addresses_changed.set(true);
         }
         if let Some(era) = settled::era(&item) {
-            core.settled.set(core.settled.get().max(Some(era)));
+            core.settled_era.set(core.settled_era.get().max(Some(era)));
         }
         peers::apply_quarantine_record(core, &item);
         own.insert(item.key.clone(), item);
--- a/crates/jb-relay/src/follow/missing.rs
+++ b/crates/jb-relay/src/follow/missing.rs
@@ -34,8 +34,8 @@
 impl Partition {
     /// Notes that the box learns what the store held at `at`, before that counts as proven.
     pub(super) fn note(&mut self, core: &Core, at: Moment) {
-        let span = core.proven.get().map(|from| Span { from, until: at });
-        if let Some(span) = span.filter(|span| span.length() > core.harmless_silence()) {
+        let span = core.verified_at.get().map(|from| Span { from, until: at });
+        if let Some(span) = span.filter(|span| span.length() > core.tolerated_outage()) {
             self.0 = Some(span);
         }
     }
@@ -56,11 +56,11 @@
         // No other box could know.
         return true;
     }
-    let Some(seen) = core.store_seen.get() else {
+    let Some(seen) = core.store_uptime.get() else {
         return false;
     };
     let spans = core.loads.borrow().store_spans(core.now());
-    outage::judge(partition, seen, &spans, core.harmless_silence()) == Store::Away
+    outage::judge(partition, seen, &spans, core.tolerated_outage()) == Store::Away
 }
 
 /// Takes an upstream whose entry is missing off, or keeps it as a last resort until `until`.
--- a/crates/jb-relay/src/follow/run.rs
+++ b/crates/jb-relay/src/follow/run.rs
@@ -17,7 +17,7 @@
 use super::missing::{self, Partition};
 use super::resurrected::Resurrected;
 use super::start_up;
-use crate::core::{Core, Origin, Shared};
+use crate::core::{Core, Shared, UpdateOrigin};
 use crate::peers;
 use crate::port::{Change, ChangeBatch, Consistency, Revision, StoreError};
 
@@ -60,7 +60,7 @@
 
 /// An update of the store.
 pub(super) struct Update {
-    pub(super) from: Origin,
+    pub(super) from: UpdateOrigin,
     pub(super) changes: Vec<Change>,
     /// Whether they are all that the store holds.
     pub(super) whole: bool,
@@ -113,7 +113,7 @@
     };
     match peers::ask(core, socket, after, source).await {
         Ok(update) => Asked::Update(Update {
-            from: Origin::Box(source),
+            from: UpdateOrigin::Box(source),
             whole: update.whole,
             changes: update.changes,
             revision: update.revision,
@@ -130,7 +130,7 @@
         Some(failing) => core.now() < failing.last + level.retry_interval(),
         None => {
             let max_wait = level.max_wait(core.settings.bounds.max_revocation_delay);
-            why == peers::AskError::Outdated && core.age().is_some_and(|age| age < max_wait)
+            why == peers::AskError::Outdated && core.state_age().is_some_and(|age| age < max_wait)
         }
     }
 }
@@ -149,7 +149,8 @@
 
 /// Revision of the last update; `None` before the first.
 fn known(core: &Core) -> Option<Revision> {
-    core.knows_store().then(|| core.log.borrow().revision())
+    core.has_store_state()
+        .then(|| core.change_log.borrow().revision())
 }
 
 /// Reads the store itself, or what another box has read where everything must be.
@@ -183,7 +184,7 @@
                 core,
                 progress,
                 Update {
-                    from: Origin::Store,
+                    from: UpdateOrigin::Store,
                     whole: progress.after.is_none(),
                     changes,
                     revision,
@@ -214,7 +215,7 @@
 fn lost(core: &Core, progress: &mut Progress, why: &StoreError) {
     let now = core.now();
     core.metrics.store_failures.inc();
-    core.news_from.set(None);
+    core.update_origin.set(None);
     if progress.failing.is_none() {
         emit!(core.logger, warn, event::PLATFORM_LOST, "why" => %why);
     }
@@ -230,7 +231,7 @@
 }
 
 /// Notes the era of an update; returns whether it is the first one after a restore of the store.
-fn note_era(core: &Core, from: Origin, revision: Revision) -> bool {
+fn note_era(core: &Core, from: UpdateOrigin, revision: Revision) -> bool {
     core.metrics
         .store_era
         .set(i64::try_from(revision.era).unwrap_or(i64::MAX));
@@ -293,7 +294,7 @@
         peers::list_few(core);
     }
     missing::sweep(core, &progress.partition);
-    let mut log = core.log.borrow_mut();
+    let mut log = core.change_log.borrow_mut();
     let (items, bytes) = (core.mirror.borrow().len(), core.mirror.borrow().bytes());
     log.note_store(items, bytes);
     if whole {
@@ -304,9 +305,10 @@
     progress.after = Some(revision);
     progress.unproven = proven.is_none();
     progress.gone &= proven.is_none();
-    core.news_from.set(Some(from));
-    core.proven.set(proven.max(core.proven.get()));
-    if from != Origin::Box(peers::Source::AnyRelayNode) {
-        core.proven_directly.set(proven.max(core.proven_directly.get()));
+    core.update_origin.set(Some(from));
+    core.verified_at.set(proven.max(core.verified_at.get()));
+    if from != UpdateOrigin::Box(peers::Source::AnyRelayNode) {
+        core.verified_directly_at
+            .set(proven.max(core.verified_directly_at.get()));
     }
 }
--- a/crates/jb-relay/src/follow/start_up.rs
+++ b/crates/jb-relay/src/follow/start_up.rs
@@ -13,7 +13,7 @@
 
 use super::facts::{Tally, apply};
 use super::run::Update;
-use crate::core::{Core, Origin};
+use crate::core::{Core, UpdateOrigin};
 use crate::peers::{self, Source, TransferError};
 use crate::port::{ChangeBatch, Consistency, Era, Page, Revision, StoreError};
 
@@ -51,7 +51,7 @@
 
 fn from_store(page: Page) -> Update {
     Update {
-        from: Origin::Store,
+        from: UpdateOrigin::Store,
         changes: page.changes,
         whole: true,
         revision: page.revision,
@@ -109,7 +109,7 @@
         match peers::fetch(core, *source, after).await {
             Ok(transfer) => {
                 return Attempt::Done(Update {
-                    from: Origin::Box(Source::RelayNode),
+                    from: UpdateOrigin::Box(Source::RelayNode),
                     changes: transfer.changes,
                     whole: transfer.whole,
                     revision: transfer.revision,
--- a/crates/jb-relay/src/front.rs
+++ b/crates/jb-relay/src/front.rs
@@ -78,9 +78,9 @@
         Err(None) => return false,
     };
     let size = body.len();
-    core.held.set(core.held.get() + size);
+    core.held_body_bytes.set(core.held_body_bytes.get() + size);
     let goes_on = answer(core, client, &query, &body, arrived).await;
-    core.held.set(core.held.get() - size);
+    core.held_body_bytes.set(core.held_body_bytes.get() - size);
     goes_on && query.keep_alive && !core.stop.is_stopping()
 }
 
@@ -108,7 +108,7 @@
     query: &Query,
     limits: &CallerLimits,
 ) -> Result<Bytes, Option<u16>> {
-    let room = (core.settings.capacity.memory_bytes / BODY_SHARE).saturating_sub(core.held.get());
+    let room = (core.settings.capacity.memory_bytes / BODY_SHARE).saturating_sub(core.held_body_bytes.get());
     let most = limits.max_body_bytes.min(room);
     if let Framing::Length(length) = query.framing {
         if length > limits.max_body_bytes as u64 {
@@ -162,7 +162,8 @@
 /// Waits a little while the box has just started and is about to serve: its caller would be back
 /// at once, at a box that has just started as well.
 async fn started(core: &Shared) {
-    while core.now() < STARTUP_PERIOD && core.age().is_none() && core.metrics.store_failures.get() == 0 {
+    while core.now() < STARTUP_PERIOD && core.state_age().is_none() && core.metrics.store_failures.get() == 0
+    {
         sleep(LOOK_STARTED).await;
     }
 }
@@ -226,7 +227,7 @@
     core.metrics.ended(refusal.name(), status);
     emit!(core.logger, info, event::REQUEST_REFUSED, "request" => id, "status" => status,
         "why" => refusal.name(), "version" => core.configuration().map(|configuration| configuration.version),
-        "age_ms" => core.age().map(|age| age.as_millis() as u64),
+        "age_ms" => core.state_age().map(|age| age.as_millis() as u64),
         "key_age_ms" => core.key_age().map(|age| age.as_millis() as u64));
     let after = (status == 503).then_some(COME_BACK);
     let keep_alive = status != 503;
--- a/crates/jb-relay/src/leader/election.rs
+++ b/crates/jb-relay/src/leader/election.rs
@@ -14,11 +14,11 @@
     /// Makes this box the leader when there is none, the most preferred box first.
     pub(super) async fn try_elect(&self) {
         let core = &self.core;
-        let holder = core.own.borrow().get(HOLDER).cloned();
+        let holder = core.box_items.borrow().get(HOLDER).cloned();
         let held = holder.as_ref().is_some_and(|item| item.value.is_some());
         // Without the own address in the list, the others' are missing too.
         let listed = core.book.borrow().address(&core.settings.id).is_some();
-        if held || !listed || core.age().is_none_or(|age| age > 2 * follow::PERIOD) {
+        if held || !listed || core.state_age().is_none_or(|age| age > 2 * follow::PERIOD) {
             self.vacant_since.set(None);
             return;
         }
@@ -30,7 +30,7 @@
             return;
         }
         if let Err(why) = self.elect().await {
-            let expected = revision(core.own.borrow().get(&record::key(core.era())));
+            let expected = revision(core.box_items.borrow().get(&record::key(core.era())));
             emit!(core.logger, info, event::LEADER_NOT_ELECTED, "why" => %why, "expected" => ?expected);
             self.vacant_since.set(None);
             sleep(follow::PERIOD).await;
@@ -46,7 +46,7 @@
         if lease.era != era {
             return Err(StoreError::Restored);
         }
-        let last = core.own.borrow().get(&record::key(era)).cloned();
+        let last = core.box_items.borrow().get(&record::key(era)).cloned();
         let before = record::decode(last.as_ref().and_then(|item| item.value.as_deref()));
         let own = &core.settings.id;
         let holder = Write {
--- a/crates/jb-relay/src/leader/term.rs
+++ b/crates/jb-relay/src/leader/term.rs
@@ -199,7 +199,7 @@
 
     /// Revision of the record in the store if it names this box.
     fn own_record(&self, era: Era) -> Option<Revision> {
-        let items = self.core.own.borrow();
+        let items = self.core.box_items.borrow();
         let last = items.get(&record::key(era));
         let own = self.core.settings.id.as_bytes();
         let mine = last.filter(|item| item.value.as_deref().is_some_and(|v| record::holder(v) == own));
--- a/crates/jb-relay/src/peers/quarantine_record.rs
+++ b/crates/jb-relay/src/peers/quarantine_record.rs
@@ -33,7 +33,7 @@
 /// Whether a request is quarantined and the store has no record of it.
 pub(super) fn is_due(core: &Core, content: Content) -> bool {
     let quarantined = core.quarantine.ledger().verdict(content, core.now()) == Verdict::Quarantined;
-    let own = core.own.borrow();
+    let own = core.box_items.borrow();
     let is_there = own.get(&key(content)).is_some_and(|item| item.value.is_some());
     quarantined && !is_there
 }
--- a/crates/jb-relay/src/peers/register.rs
+++ b/crates/jb-relay/src/peers/register.rs
@@ -25,7 +25,7 @@
 pub async fn register(core: Shared) {
     loop {
         list(&core);
-        if core.age().is_some() {
+        if core.state_age().is_some() {
             write_address(&core, core.era()).await;
         }
         sleep(LOOK).await;
@@ -45,7 +45,7 @@
         core.settings.hall, core.settings.capacity.link_mbps
     );
     let key = format!("{KEYS}{}", core.settings.id);
-    let known = core.own.borrow().get(&key).cloned();
+    let known = core.box_items.borrow().get(&key).cloned();
     let there = known.filter(|item| item.value.is_some() && item.revision.era == era);
     let value = there.as_ref().and_then(|item| item.value.as_deref());
     if value == Some(own.as_bytes()) {
@@ -75,14 +75,17 @@
 /// boxes would ask their relay node for each other's addresses.
 pub fn list_few(core: &Core) {
     let is_there = |(_, item): &(&String, &Change)| item.value.is_some();
-    let boxes = items(&core.own.borrow()).filter(is_there).take(SMALL + 1).count();
+    let boxes = items(&core.box_items.borrow())
+        .filter(is_there)
+        .take(SMALL + 1)
+        .count();
     if boxes <= SMALL {
         list(core);
     }
 }
 
 fn read(core: &Core) -> BTreeMap<id::Box, Peer> {
-    let own = core.own.borrow();
+    let own = core.box_items.borrow();
     let peers = items(&own).filter_map(|(key, item)| {
         let value = std::str::from_utf8(item.value.as_deref()?).ok()?;
         let id = &key[KEYS.len()..];
--- a/crates/jb-relay/src/peers/relay.rs
+++ b/crates/jb-relay/src/peers/relay.rs
@@ -291,9 +291,9 @@
 /// Answers another box that has the first `skip` changes already.
 pub(super) async fn answer(core: &Core, socket: &UdpSocket, from: SocketAddr, ask: Ask, skip: u32) {
     // Without knowledge, or with old knowledge, the asker is better off with the store.
-    let age = core.age().filter(|age| is_recent(*age));
+    let age = core.state_age().filter(|age| is_recent(*age));
     let answer = age.map_or(Answer::ReadYourself, |_| {
-        changes_since(&core.log.borrow(), &ask, skip)
+        changes_since(&core.change_log.borrow(), &ask, skip)
     });
     let age_ms = age.map_or(0, |age| u64::try_from(age.as_millis() + 1).unwrap_or(u64::MAX));
     send(
--- a/crates/jb-relay/src/peers/releases.rs
+++ b/crates/jb-relay/src/peers/releases.rs
@@ -33,7 +33,7 @@
     let mut asked = 0;
     while asked < MAX_QUERIES {
         sleep(LOOK).await;
-        if core.age().is_some() && !is_missing(&core) {
+        if core.state_age().is_some() && !is_missing(&core) {
             return;
         }
         let others = others(&core, asked);
--- a/crates/jb-relay/src/peers/status/compose.rs
+++ b/crates/jb-relay/src/peers/status/compose.rs
@@ -70,7 +70,7 @@
             loads: Vec::new(),
             weights: Vec::new(),
             uses: Vec::new(),
-            store: core.store_seen.get().map(|span| store_span(span, core.now())),
+            store: core.store_uptime.get().map(|span| store_span(span, core.now())),
         }
     }
 
--- a/crates/jb-relay/src/peers/suspicion.rs
+++ b/crates/jb-relay/src/peers/suspicion.rs
@@ -34,7 +34,7 @@
 /// Publishes evidence for as long as the box runs.
 pub async fn publish(core: Shared, socket: Rc<UdpSocket>) {
     let mut due = core.now() + PERIOD;
-    let mut restored = core.restored.get().map(|restore| restore.noticed);
+    let mut restored = core.last_restore.get().map(|restore| restore.noticed);
     loop {
         let left = due.saturating_sub(core.now());
         if let Ok(news) = timeout(left, core.quarantine.news()).await {
@@ -51,7 +51,7 @@
             continue;
         }
         due = core.now() + PERIOD;
-        let noticed = core.restored.get().map(|restore| restore.noticed);
+        let noticed = core.last_restore.get().map(|restore| restore.noticed);
         if noticed != restored {
             restored = noticed;
             quarantine_record::write_lost(&core);
--- a/crates/jb-relay/src/peers/transfer.rs
+++ b/crates/jb-relay/src/peers/transfer.rs
@@ -224,24 +224,24 @@
 /// Returns whether the box knows what a query asks for. Who knows something already waits for what is recent.
 fn can_answer(core: &Core, query: &Query) -> bool {
     match query.after {
-        None => core.knows_store(),
-        Some(_) => core.age().is_some_and(is_recent),
+        None => core.has_store_state(),
+        Some(_) => core.state_age().is_some_and(is_recent),
     }
 }
 
 /// Returns the changes after a revision, or everything where the log doesn't reach back so far.
 fn find(core: &Core, after: Option<Revision>) -> std::io::Result<Option<(Header, Bytes)>> {
-    let revision = core.log.borrow().revision();
+    let revision = core.change_log.borrow().revision();
     if after.is_some_and(|after| after > revision) {
         return Ok(None);
     }
-    let log = core.log.borrow();
+    let log = core.change_log.borrow();
     let Some((after, changes)) = after.and_then(|after| Some((after, log.since(after)?))) else {
         drop(log);
         return whole(core).map(Some);
     };
     let header = Header {
-        age_ms: core.age().map(millis),
+        age_ms: core.state_age().map(millis),
         revision,
         whole: after.era < revision.era,
     };
@@ -255,8 +255,8 @@
         Some(known) => known,
         None => {
             let new = Whole {
-                revision: core.log.borrow().revision(),
-                proven: core.proven.get(),
+                revision: core.change_log.borrow().revision(),
+                proven: core.verified_at.get(),
                 encoded: now,
                 changes: encode(core.mirror.borrow().items())?,
             };
--- a/crates/jb-relay/src/ready.rs
+++ b/crates/jb-relay/src/ready.rs
@@ -26,7 +26,7 @@
 /// worst seconds did not gain by it.
 pub fn is_ready(core: &Core) -> bool {
     let fresh = core
-        .path_age()
+        .direct_state_age()
         .is_some_and(|age| age < core.settings.bounds.max_revocation_delay.mul_f64(STALE_SHARE));
     fresh && core.configuration().is_some() && !core.stop.is_stopping()
 }
--- a/crates/jb-relay/src/start.rs
+++ b/crates/jb-relay/src/start.rs
@@ -10,7 +10,7 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::sleep;
 
-use crate::core::{Core, Parts, Shared};
+use crate::core::{Components, Core, Shared};
 use crate::leader::Leader;
 use crate::settings::Settings;
 use crate::{cache_scan, follow, front, link, peers, ready, stop};
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 /// When an address cannot be listened on.
-pub fn run(parts: Parts) -> std::io::Result<()> {
+pub fn run(parts: Components) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
