--- a/crates/jb-relay/src/cache_scan.rs
+++ b/crates/jb-relay/src/cache_scan.rs
@@ -56,7 +56,7 @@
     signal::apply_signals(&core, &instance, observed.signals, None);
     match observed.result {
         Ok(contents) if instance.is_confirmed_by(contents.started_at) => {
-            apply(&core, &instance, &contents.parts)
+            apply(&core, &instance, &contents.segments)
         }
         Ok(contents) => restart::note(&core, &instance, contents.started_at, "cache"),
         Err(why) => {
--- a/crates/jb-relay/src/core.rs
+++ b/crates/jb-relay/src/core.rs
@@ -242,7 +242,7 @@
 
     /// Returns whether it takes several calls to read all that the store holds.
     pub fn is_store_paged(&self) -> bool {
-        self.mirror.borrow().len() > self.store.page_items()
+        self.mirror.borrow().len() > self.store.max_page_items()
     }
 
     /// Era of the store by the last update.
--- a/crates/jb-relay/src/exchange/isolation.rs
+++ b/crates/jb-relay/src/exchange/isolation.rs
@@ -73,7 +73,7 @@
             .quarantine
             .ledger()
             .forgotten_after(content, self.core.now());
-        self.core.metrics.quarantined.inc();
+        self.core.metrics.quarantine_rejections.inc();
         Refused {
             why: "ends_engines",
             after,
--- a/crates/jb-relay/src/follow/facts.rs
+++ b/crates/jb-relay/src/follow/facts.rs
@@ -93,7 +93,7 @@
         .borrow_mut()
         .configure(&configuration.cache_stores);
     core.metrics
-        .version
+        .configuration_version
         .set(i64::try_from(configuration.version).unwrap_or(i64::MAX));
     *core.configuration.borrow_mut() = Some(std::rc::Rc::new(configuration));
 }
--- a/crates/jb-relay/src/follow/resurrected.rs
+++ b/crates/jb-relay/src/follow/resurrected.rs
@@ -26,7 +26,7 @@
     pub(super) fn note_restore(&mut self, core: &Core, all: &[Change]) {
         let upstreams = core.upstreams.borrow();
         let has_gone = |change: &&Change| {
-            let id = core.store.upstream(change);
+            let id = core.store.upstream_id(change);
             id.is_some_and(|id| upstreams.is_deregistered(id))
         };
         let gone = all
--- a/crates/jb-relay/src/follow/run.rs
+++ b/crates/jb-relay/src/follow/run.rs
@@ -174,7 +174,7 @@
     let wait = if waits { PERIOD } else { Duration::ZERO };
     let news = match progress.after {
         Some(after) => core.store.changes(after, wait).await,
-        None => core.store.all(age).await,
+        None => core.store.all_items(age).await,
     };
     let stale = progress.after.is_none() && age == Consistency::Stale;
     match news {
--- a/crates/jb-relay/src/front.rs
+++ b/crates/jb-relay/src/front.rs
@@ -144,7 +144,7 @@
 
 /// Refuses a request that was not read whole, and closes.
 async fn refuse(core: &Shared, client: &mut Connection, status: u16, why: &str) -> bool {
-    core.metrics.ended("bad_input", status);
+    core.metrics.count_outcome("bad_input", status);
     emit!(core.logger, info, event::REQUEST_REFUSED, "status" => status, "why" => why);
     if client.send(&own_answer(status, &[], None, false)).await.is_ok() {
         client.finish().await;
@@ -214,7 +214,7 @@
 /// Refuses a request beyond its customer's limit.
 async fn limited(core: &Shared, client: &mut Connection, request: &AdmittedRequest, after: Duration) -> bool {
     const STATUS: u16 = 429;
-    core.metrics.ended("limited", STATUS);
+    core.metrics.count_outcome("limited", STATUS);
     final_answer(core, client, &request.id, STATUS, Some(after)).await
 }
 
@@ -224,7 +224,7 @@
         .text(core.header_names.request_id)
         .unwrap_or_default();
     let status = refusal.status();
-    core.metrics.ended(refusal.name(), status);
+    core.metrics.count_outcome(refusal.name(), status);
     emit!(core.logger, info, event::REQUEST_REFUSED, "request" => id, "status" => status,
         "why" => refusal.name(), "version" => core.configuration().map(|configuration| configuration.version),
         "age_ms" => core.state_age().map(|age| age.as_millis() as u64),
@@ -272,7 +272,7 @@
         Ending::Broken(why) => ("broken", 0, why),
         Ending::CallerGone => ("caller_gone", 0, ""),
     };
-    core.metrics.ended(name, status);
+    core.metrics.count_outcome(name, status);
     emit!(core.logger, info, event::REQUEST_ENDED, "request" => &request.id, "route" => &request.route.name,
         "service" => &request.service, "ending" => name, "status" => status, "why" => why,
         "ms" => exchange.took().as_millis() as u64, "tried" => tried(exchange),
--- a/crates/jb-relay/src/leader/election.rs
+++ b/crates/jb-relay/src/leader/election.rs
@@ -41,7 +41,7 @@
         let core = &self.core;
         let asked = core.now();
         core.metrics.store_calls.inc();
-        let lease = core.store.lease(LEASE).await?;
+        let lease = core.store.grant_lease(LEASE).await?;
         let era = core.era();
         if lease.era != era {
             return Err(StoreError::Restored);
--- a/crates/jb-relay/src/leader/load.rs
+++ b/crates/jb-relay/src/leader/load.rs
@@ -219,7 +219,7 @@
 
     /// Whether a report is of the life that is known; a later one is noted.
     fn is_same_life(&self, instance: &Instance, report: &Report) -> bool {
-        let fewer_orders = self.counts.borrow_mut().fall(instance, report.orders);
+        let fewer_orders = self.counts.borrow_mut().fall(instance, report.orders_taken);
         if !instance.is_confirmed_by(report.started_at) {
             restart::note(&self.core, instance, report.started_at, "report");
             return false;
@@ -263,7 +263,10 @@
             }
             if report.busy {
                 sleep(LOOK_BUSY).await;
-            } else if !self.order(instance, address, model, version, report.orders).await {
+            } else if !self
+                .order(instance, address, model, version, report.orders_taken)
+                .await
+            {
                 return;
             }
         }
@@ -311,9 +314,9 @@
         let order = Order {
             model: model.to_owned(),
             version,
-            holder,
+            issuer: holder,
             fence,
-            orders,
+            expected_orders: orders,
         };
         self.record.borrow_mut().order(&instance.id, core.now());
         let observed = core.engines.order(address, &instance.id, &order).await;
--- a/crates/jb-relay/src/leader/term.rs
+++ b/crates/jb-relay/src/leader/term.rs
@@ -98,7 +98,7 @@
 
     async fn release(&self, term: Term) {
         self.core.metrics.store_calls.inc();
-        if let Err(why) = self.core.store.end(term.lease).await {
+        if let Err(why) = self.core.store.revoke_lease(term.lease).await {
             emit!(self.core.logger, info, event::LEADER_LOST, "why" => %why);
         }
         self.lose("the box stops");
@@ -126,7 +126,7 @@
 
     async fn renew(&self, term: Term, now: Moment) {
         self.core.metrics.store_calls.inc();
-        match self.core.store.renew(term.lease).await {
+        match self.core.store.renew_lease(term.lease).await {
             Ok(()) => self.term.set(Some(Term {
                 until: now + LEASE - MARGIN,
                 renewed: now,
--- a/crates/jb-relay/src/metrics.rs
+++ b/crates/jb-relay/src/metrics.rs
@@ -10,14 +10,14 @@
 
 /// Label of an ending.
 #[derive(Clone, Debug, Hash, PartialEq, Eq)]
-pub struct Ending {
+pub struct OutcomeLabels {
     /// How the request ended.
     pub ending: &'static str,
     /// Status that the caller got; 0 for none.
     pub status: u16,
 }
 
-impl EncodeLabelSet for Ending {
+impl EncodeLabelSet for OutcomeLabels {
     fn encode(&self, encoder: &mut LabelSetEncoder<'_>) -> Result<(), std::fmt::Error> {
         [
             ("ending", self.ending.to_owned()),
@@ -31,33 +31,33 @@
 #[derive(Debug)]
 pub struct Metrics {
     /// Requests by ending.
-    pub requests: Family<Ending, Counter>,
+    pub requests: Family<OutcomeLabels, Counter>,
     /// Seconds from a request's head to the first byte of its answer.
     pub first_byte: Histogram,
     /// Sends beyond the first.
     pub retries: Counter,
     /// Datagrams that were refused: unreadable, or of somebody who is not a box.
-    pub strange: Counter,
+    pub rejected_datagrams: Counter,
     /// Questions to accounts without an answer in time.
-    pub unadvised: Counter,
+    pub account_timeouts: Counter,
     /// Requests beyond their customers' limits.
-    pub limited: Counter,
+    pub quota_exceeded: Counter,
     /// Charges to accounts of customers without an answer in time.
-    pub limit_unanswered: Counter,
+    pub quota_timeouts: Counter,
     /// Requests that this box judged by its own share of a limit, as no other box answered.
-    pub limit_alone: Counter,
+    pub quota_decided_locally: Counter,
     /// Requests that were shown to end engines.
-    pub poisonous: Counter,
+    pub requests_quarantined: Counter,
     /// Tries of such requests that were refused.
-    pub quarantined: Counter,
+    pub quarantine_rejections: Counter,
     /// Times that an upstream has asked for backoff.
-    pub backoffs: Counter,
+    pub upstream_backoffs: Counter,
     /// Requests denied a permit by an upstream's rate limit.
     pub rate_limit_denied: Counter,
     /// Queries to owners of rate limits without an answer in time.
-    pub rate_limit_unanswered: Counter,
+    pub rate_limit_timeouts: Counter,
     /// Permits decided by this box's own share of a rate limit.
-    pub rate_limit_alone: Counter,
+    pub rate_limit_decided_locally: Counter,
     /// Connections opened to upstreams.
     pub connections_opened: Counter,
     /// Calls to the store.
@@ -69,80 +69,88 @@
     /// Transfers of what the store holds from other boxes.
     pub transfers: Counter,
     /// Datagrams of messages to all boxes, those that were handed on with them.
-    pub broadcasts: Counter,
+    pub broadcast_datagrams: Counter,
     /// Era of the store.
     pub store_era: Gauge,
     /// Version of the configuration in force.
-    pub version: Gauge,
+    pub configuration_version: Gauge,
     registry: Registry,
 }
 
 /// First bucket of the latency histogram, in seconds, the factor between buckets and their number.
-const BUCKETS: (f64, f64, u16) = (0.005, 2.0, 12);
+const FIRST_BYTE_BUCKETS: (f64, f64, u16) = (0.005, 2.0, 12);
 
 impl Default for Metrics {
     fn default() -> Self {
         let mut registry = Registry::with_prefix("junctionbend");
         let requests = Family::default();
-        let first_byte = Histogram::new(exponential_buckets(BUCKETS.0, BUCKETS.1, BUCKETS.2));
+        let first_byte = Histogram::new(exponential_buckets(
+            FIRST_BYTE_BUCKETS.0,
+            FIRST_BYTE_BUCKETS.1,
+            FIRST_BYTE_BUCKETS.2,
+        ));
         let retries = Counter::default();
-        let unadvised = Counter::default();
-        let strange = Counter::default();
-        let limited = Counter::default();
-        let limit_unanswered = Counter::default();
-        let limit_alone = Counter::default();
-        let poisonous = Counter::default();
-        let quarantined = Counter::default();
-        let backoffs = Counter::default();
+        let account_timeouts = Counter::default();
+        let rejected_datagrams = Counter::default();
+        let quota_exceeded = Counter::default();
+        let quota_timeouts = Counter::default();
+        let quota_decided_locally = Counter::default();
+        let requests_quarantined = Counter::default();
+        let quarantine_rejections = Counter::default();
+        let upstream_backoffs = Counter::default();
         let rate_limit_denied = Counter::default();
-        let rate_limit_unanswered = Counter::default();
-        let rate_limit_alone = Counter::default();
+        let rate_limit_timeouts = Counter::default();
+        let rate_limit_decided_locally = Counter::default();
         let connections_opened = Counter::default();
         let store_calls = Counter::default();
         let store_failures = Counter::default();
         let relay_node = Gauge::default();
         let transfers = Counter::default();
-        let broadcasts = Counter::default();
+        let broadcast_datagrams = Counter::default();
         let store_era = Gauge::default();
-        let version = Gauge::default();
+        let configuration_version = Gauge::default();
         registry.register("requests", "Requests by ending", requests.clone());
         registry.register("first_byte_seconds", "Time to the first byte", first_byte.clone());
         registry.register("retries", "Sends beyond the first", retries.clone());
-        registry.register("strange", "Datagrams that were refused", strange.clone());
+        registry.register(
+            "strange",
+            "Datagrams that were refused",
+            rejected_datagrams.clone(),
+        );
         registry.register(
             "unadvised",
             "Questions to accounts of engines without an answer in time",
-            unadvised.clone(),
+            account_timeouts.clone(),
         );
         registry.register(
             "limit_refused",
             "Requests beyond their customers' limits",
-            limited.clone(),
+            quota_exceeded.clone(),
         );
         registry.register(
             "limit_unanswered",
             "Charges to accounts of customers without an answer in time",
-            limit_unanswered.clone(),
+            quota_timeouts.clone(),
         );
         registry.register(
             "limit_alone",
             "Requests judged by this box's own share of a limit",
-            limit_alone.clone(),
+            quota_decided_locally.clone(),
         );
         registry.register(
             "poisonous",
             "Requests that were quarantined as they crash engines",
-            poisonous.clone(),
+            requests_quarantined.clone(),
         );
         registry.register(
             "quarantined",
             "Tries of such requests that were refused",
-            quarantined.clone(),
+            quarantine_rejections.clone(),
         );
         registry.register(
             "upstream_backoffs",
             "Times that an upstream asked for backoff",
-            backoffs.clone(),
+            upstream_backoffs.clone(),
         );
         registry.register(
             "rate_limit_denied",
@@ -152,12 +160,12 @@
         registry.register(
             "rate_limit_unanswered",
             "Queries to owners of rate limits without an answer in time",
-            rate_limit_unanswered.clone(),
+            rate_limit_timeouts.clone(),
         );
         registry.register(
             "rate_limit_alone",
             "Permits decided by this box's own share of a rate limit",
-            rate_limit_alone.clone(),
+            rate_limit_decided_locally.clone(),
         );
         registry.register(
             "upstream_connections",
@@ -179,33 +187,37 @@
         registry.register(
             "broadcasts",
             "Datagrams of messages to all boxes",
-            broadcasts.clone(),
+            broadcast_datagrams.clone(),
         );
         registry.register("store_era", "Times the store was restored", store_era.clone());
-        registry.register("configuration_version", "Version in force", version.clone());
+        registry.register(
+            "configuration_version",
+            "Version in force",
+            configuration_version.clone(),
+        );
         Self {
             requests,
             first_byte,
             retries,
-            unadvised,
-            strange,
-            limited,
-            limit_unanswered,
-            limit_alone,
-            poisonous,
-            quarantined,
-            backoffs,
+            account_timeouts,
+            rejected_datagrams,
+            quota_exceeded,
+            quota_timeouts,
+            quota_decided_locally,
+            requests_quarantined,
+            quarantine_rejections,
+            upstream_backoffs,
             rate_limit_denied,
-            rate_limit_unanswered,
-            rate_limit_alone,
+            rate_limit_timeouts,
+            rate_limit_decided_locally,
             connections_opened,
             store_calls,
             store_failures,
             relay_node,
             transfers,
-            broadcasts,
+            broadcast_datagrams,
             store_era,
-            version,
+            configuration_version,
             registry,
         }
     }
@@ -213,15 +225,17 @@
 
 impl Metrics {
     /// Counts one ended request.
-    pub fn ended(&self, ending: &'static str, status: u16) {
-        self.requests.get_or_create(&Ending { ending, status }).inc();
+    pub fn count_outcome(&self, ending: &'static str, status: u16) {
+        self.requests
+            .get_or_create(&OutcomeLabels { ending, status })
+            .inc();
     }
 
     /// All metrics in the text format.
     ///
     /// # Errors
     /// Never for these metrics; the encoder's interface allows one.
-    pub fn text(&self) -> Result<String, std::fmt::Error> {
+    pub fn encode_text(&self) -> Result<String, std::fmt::Error> {
         let mut text = String::new();
         encode(&mut text, &self.registry)?;
         Ok(text)
--- a/crates/jb-relay/src/peers/account.rs
+++ b/crates/jb-relay/src/peers/account.rs
@@ -155,7 +155,7 @@
     let message = Message::Question(question);
     let answer = inquiries.ask(core, (&id, address), (place, name), &message, ANSWER);
     let Some(advice) = answer.await else {
-        core.metrics.unadvised.inc();
+        core.metrics.account_timeouts.inc();
         return None;
     };
     take_weights(core, engine, &advice);
@@ -244,7 +244,7 @@
 pub(super) fn is_known(core: &Core, from: SocketAddr) -> bool {
     let known = core.book.borrow().knows(from);
     if !known {
-        core.metrics.strange.inc();
+        core.metrics.rejected_datagrams.inc();
         emit!(core.logger, debug, event::PEER_REFUSED, "peer" => %from, "why" => "not a box that is known");
     }
     known
--- a/crates/jb-relay/src/peers/broadcast.rs
+++ b/crates/jb-relay/src/peers/broadcast.rs
@@ -153,6 +153,6 @@
 }
 
 async fn send_one(core: &Core, socket: &UdpSocket, to: SocketAddr, bytes: &[u8]) {
-    core.metrics.broadcasts.inc();
+    core.metrics.broadcast_datagrams.inc();
     send_bytes(core, socket, to, bytes).await;
 }
--- a/crates/jb-relay/src/peers/quarantine_record.rs
+++ b/crates/jb-relay/src/peers/quarantine_record.rs
@@ -83,7 +83,7 @@
         return Ok(());
     };
     core.metrics.store_calls.inc_by(2);
-    let lease = core.store.lease(RETENTION).await?;
+    let lease = core.store.grant_lease(RETENTION).await?;
     let write = Write {
         key: key(content),
         value: Bytes::from(value),
--- a/crates/jb-relay/src/peers/quota.rs
+++ b/crates/jb-relay/src/peers/quota.rs
@@ -130,7 +130,7 @@
         .configuration
         .customer_quota(customer)
         .map(|quota| quota.limit.rate);
-    core.metrics.limited.inc();
+    core.metrics.quota_exceeded.inc();
     emit!(core.logger, info, event::REQUEST_LIMITED, "request" => &request.id, "customer" => name,
         "tokens" => tokens, "limit_per_s" => limit, "left" => grant.left, "owner" => owner, "after_ms" => after);
     Err(Duration::from_millis(after.into()))
@@ -151,7 +151,7 @@
     if let Some(granted) = granted.await {
         return granted;
     }
-    core.metrics.limit_alone.inc();
+    core.metrics.quota_decided_locally.inc();
     (core.settings.id.clone(), answer(core, charge, Scope::Own))
 }
 
@@ -172,7 +172,7 @@
     let answer = inquiries.ask(core, (id, *address), charge.nonce, &message, ANSWER);
     let grant = answer.await;
     if grant.is_none() {
-        core.metrics.limit_unanswered.inc();
+        core.metrics.quota_timeouts.inc();
     }
     grant
 }
--- a/crates/jb-relay/src/peers/rate_limit.rs
+++ b/crates/jb-relay/src/peers/rate_limit.rs
@@ -78,7 +78,7 @@
     let answer = match answer.await {
         Some((_, answer)) => answer,
         None => {
-            core.metrics.rate_limit_alone.inc();
+            core.metrics.rate_limit_decided_locally.inc();
             decide(core, &query, Scope::Own)
         }
     };
@@ -112,7 +112,7 @@
         .ask(core, (id, *address), query.nonce, &message, ANSWER_TIMEOUT)
         .await;
     if answer.is_none() {
-        core.metrics.rate_limit_unanswered.inc();
+        core.metrics.rate_limit_timeouts.inc();
     }
     answer
 }
--- a/crates/jb-relay/src/peers/socket.rs
+++ b/crates/jb-relay/src/peers/socket.rs
@@ -139,6 +139,6 @@
 }
 
 fn refuse(core: &Core, from: SocketAddr, why: &dyn std::fmt::Display) {
-    core.metrics.strange.inc();
+    core.metrics.rejected_datagrams.inc();
     emit!(core.logger, debug, event::PEER_REFUSED, "peer" => %from, "why" => %why);
 }
--- a/crates/jb-relay/src/peers/transfer.rs
+++ b/crates/jb-relay/src/peers/transfer.rs
@@ -201,7 +201,7 @@
         sleep(LOOK).await;
     }
     if !core.book.borrow().knows_host(host) {
-        core.metrics.strange.inc();
+        core.metrics.rejected_datagrams.inc();
         return Err(std::io::ErrorKind::PermissionDenied.into());
     }
     // The semaphore is never closed.
--- a/crates/jb-relay/src/port.rs
+++ b/crates/jb-relay/src/port.rs
@@ -85,7 +85,7 @@
     /// Whether it is about to end; its own answers may say so before the store does.
     pub draining: bool,
     /// Time for which it is slow after its start.
-    pub cold: Duration,
+    pub warm_up: Duration,
     /// Models with the version of their weights.
     pub models: Vec<LoadedModel>,
 }
@@ -212,9 +212,9 @@
     /// Content of a change.
     fn decode(&self, change: &Change) -> DecodedItem;
     /// Id of the upstream whose entry has changed, if it is one's.
-    fn upstream<'a>(&self, change: &'a Change) -> Option<&'a str>;
+    fn upstream_id<'a>(&self, change: &'a Change) -> Option<&'a str>;
     /// Items of a page, at the most.
-    fn page_items(&self) -> usize;
+    fn max_page_items(&self) -> usize;
     /// A page of the items whose keys begin with a prefix, as they are or, at less cost, were some seconds ago;
     /// the first one where `after` names no key.
     async fn page(
@@ -232,7 +232,7 @@
             mut next,
         } = self.page(prefix, None, consistency).await?;
         while let Some(after) = next {
-            let page = retry_page(self, prefix, &after, consistency).await?;
+            let page = page_with_retries(self, prefix, &after, consistency).await?;
             if page.revision.era != revision.era {
                 return Err(StoreError::Restored);
             }
@@ -243,32 +243,32 @@
         Ok(ChangeBatch { changes, revision })
     }
     /// All that it holds.
-    async fn all(&self, consistency: Consistency) -> Result<ChangeBatch, StoreError> {
+    async fn all_items(&self, consistency: Consistency) -> Result<ChangeBatch, StoreError> {
         self.items("", consistency).await
     }
     /// What has changed after a revision; waits up to `wait` for something.
     async fn changes(&self, after: Revision, wait: Duration) -> Result<ChangeBatch, StoreError>;
     /// Takes out a lease.
-    async fn lease(&self, time: Duration) -> Result<Lease, StoreError>;
+    async fn grant_lease(&self, time: Duration) -> Result<Lease, StoreError>;
     /// Renews a lease; [`StoreError::NoLease`] also when the store has been restored since.
-    async fn renew(&self, lease: Lease) -> Result<(), StoreError>;
+    async fn renew_lease(&self, lease: Lease) -> Result<(), StoreError>;
     /// Ends a lease; its keys go with it.
-    async fn end(&self, lease: Lease) -> Result<(), StoreError>;
+    async fn revoke_lease(&self, lease: Lease) -> Result<(), StoreError>;
     /// Writes all items or none. [`StoreError::Restored`] when the store isn't in the given era: what the
     /// caller knows may then be lost, whether or not the items were written.
     async fn write(&self, era: Era, writes: &[Write]) -> Result<Revision, StoreError>;
 }
 
 /// Tries for each page after the first; without them a single late answer would cost all pages before.
-const PAGE_TRIES: usize = 3;
+const MAX_PAGE_ATTEMPTS: usize = 3;
 
-async fn retry_page<S: Store + ?Sized>(
+async fn page_with_retries<S: Store + ?Sized>(
     store: &S,
     prefix: &str,
     after: &str,
     consistency: Consistency,
 ) -> Result<Page, StoreError> {
-    for _ in 1..PAGE_TRIES {
+    for _ in 1..MAX_PAGE_ATTEMPTS {
         match store.page(prefix, Some(after), consistency).await {
             Err(StoreError::Lost(_)) => {}
             page => return page,
@@ -287,7 +287,7 @@
     /// Whether an order is under way.
     pub busy: bool,
     /// Orders taken since its start.
-    pub orders: u64,
+    pub orders_taken: u64,
 }
 
 /// An order to load other weights. Streams that run there are reset; the boxes go on with
@@ -299,11 +299,11 @@
     /// Version wanted.
     pub version: u64,
     /// Box that gives it.
-    pub holder: id::Box,
+    pub issuer: id::Box,
     /// Fencing token.
     pub fence: id::Fence,
     /// Orders that the engine must have taken before.
-    pub orders: u64,
+    pub expected_orders: u64,
 }
 
 /// How an engine answered an order.
@@ -338,7 +338,7 @@
     /// When it started, if that is known.
     pub started_at: Option<StartTime>,
     /// Parts.
-    pub parts: Vec<CachedSegment>,
+    pub segments: Vec<CachedSegment>,
 }
 
 /// Result of a control call, with the signals of its response.
--- a/crates/jb-relay/src/quarantine.rs
+++ b/crates/jb-relay/src/quarantine.rs
@@ -132,7 +132,7 @@
             emit!(core.logger, warn, event::REQUEST_SUSPECTED, "content" => %content, "ended" => ended);
         }
         Verdict::Quarantined => {
-            core.metrics.poisonous.inc();
+            core.metrics.requests_quarantined.inc();
             emit!(core.logger, warn, event::REQUEST_POISONOUS, "content" => %content, "ended" => ended,
                 "isolated" => evidence.isolated().count());
         }
--- a/crates/jb-relay/src/ready.rs
+++ b/crates/jb-relay/src/ready.rs
@@ -40,7 +40,7 @@
     let mut client = Connection::new(stream);
     while let Ok(Ok(query)) = timeout(REST, client.query(LONGEST_HEAD)).await {
         let (status, text) = if query.path() == METRICS {
-            (200, core.metrics.text().unwrap_or_default())
+            (200, core.metrics.encode_text().unwrap_or_default())
         } else if is_ready(&core) {
             (200, String::new())
         } else {
--- a/crates/jb-relay/src/signal.rs
+++ b/crates/jb-relay/src/signal.rs
@@ -118,7 +118,7 @@
         peers::note_limit(core, upstream);
     }
     if let Some(until) = upstream.backoff.observe(signals, upstream.running, now) {
-        core.metrics.backoffs.inc();
+        core.metrics.upstream_backoffs.inc();
         emit!(core.logger, info, event::UPSTREAM_BACKOFF, "upstream" => %instance,
             "ms" => until.saturating_sub(now).as_millis() as u64);
     }
--- a/crates/jb-relay/src/upstream/state.rs
+++ b/crates/jb-relay/src/upstream/state.rs
@@ -191,7 +191,7 @@
             found: self.cache.found(demand.prompt),
             elsewhere: 0,
             behind,
-            slowness: if self.entry.cold.is_zero() { 1.0 } else { COLD },
+            slowness: if self.entry.warm_up.is_zero() { 1.0 } else { COLD },
         }
     }
 }
--- a/crates/jb-relay/tests/instances.rs
+++ b/crates/jb-relay/tests/instances.rs
@@ -23,7 +23,7 @@
         hall: "hall-a".to_owned(),
         slots: 8,
         draining,
-        cold: Duration::ZERO,
+        warm_up: Duration::ZERO,
         models: Vec::new(),
     })
 }
