--- a/crates/jb-relay/src/attempt.rs
+++ b/crates/jb-relay/src/attempt.rs
@@ -10,8 +10,8 @@
 use crate::admission::AdmittedRequest;
 use crate::core::{Core, Shared};
 use crate::http::{self, Answer, Body, Framing, Query, Step, write_query};
-use crate::link::{self, Link};
 use crate::peers::Permit;
+use crate::pool::{self, PooledConnection};
 use crate::port::Entry;
 use crate::salt;
 use crate::signal::{self, Head};
@@ -48,7 +48,7 @@
     /// Body.
     pub body: Body,
     /// Connection.
-    pub link: Link,
+    pub pooled: PooledConnection,
     /// Whether the connection may be reused afterwards.
     pub clean: bool,
     /// Idle time after which the upstream closes the connection.
@@ -91,40 +91,40 @@
         return Outcome::Unsent("the upstream has gone".to_owned());
     };
     let once = !message.request.route.is_retryable();
-    let mut link = match link::take(core, instance, once).await {
-        Ok(link) => link,
+    let mut pooled = match pool::checkout(core, instance, once).await {
+        Ok(pooled) => pooled,
         Err(why) => {
             note_unreached(core, &entry, instance, &why);
             return Outcome::Unsent(why.to_string());
         }
     };
     if !core.accepts_requests(instance, permit) {
-        link::give(core, link, None);
+        pool::put_back(core, pooled, None);
         return Outcome::Withdrawn;
     }
     let head = head(core, &instance.id, &entry, message);
     let mut clean = true;
     let sent = core.now();
-    match exchange(&mut link, &head, message.body, &mut clean).await {
+    match exchange(&mut pooled, &head, message.body, &mut clean).await {
         Ok(()) => {}
         Err(why) => return Outcome::Failed(why.to_string()),
     }
-    match own_answer(core, instance, &mut link, message.request, sent, &mut clean).await {
+    match own_answer(core, instance, &mut pooled, message.request, sent, &mut clean).await {
         Ok((answer, head)) => {
             if entry.hall != core.settings.hall {
                 core.hall_reachability
                     .borrow_mut()
                     .note_reached(&entry.hall, core.now());
             }
-            judge(core, answer, &head, link, clean).await
+            judge(core, answer, &head, pooled, clean).await
         }
         Err(why) => Outcome::Failed(why.to_string()),
     }
 }
 
 /// Notes a connection to another data hall that timed out. A refused one shows that the hall is reachable.
-fn note_unreached(core: &Core, entry: &Entry, instance: &Instance, why: &link::Error) {
-    if entry.hall != core.settings.hall && matches!(why, link::Error::Silent(_)) {
+fn note_unreached(core: &Core, entry: &Entry, instance: &Instance, why: &pool::Error) {
+    if entry.hall != core.settings.hall && matches!(why, pool::Error::TimedOut(_)) {
         core.hall_reachability
             .borrow_mut()
             .note_silent(&entry.hall, instance.name(), core.now());
@@ -195,9 +195,14 @@
 }
 
 /// Writes the request; stops early when the upstream answers before it has read all.
-async fn exchange(link: &mut Link, head: &[u8], body: &[u8], clean: &mut bool) -> Result<(), http::Error> {
+async fn exchange(
+    pooled: &mut PooledConnection,
+    head: &[u8],
+    body: &[u8],
+    clean: &mut bool,
+) -> Result<(), http::Error> {
     use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
-    let (mut read, mut write, buffer) = link.connection.halves();
+    let (mut read, mut write, buffer) = pooled.connection.halves();
     let whole = [head, body].concat();
     let mut early = [0_u8; 1024];
     tokio::select! {
@@ -222,13 +227,13 @@
 async fn own_answer(
     core: &Core,
     instance: &Instance,
-    link: &mut Link,
+    pooled: &mut PooledConnection,
     request: &AdmittedRequest,
     sent: Moment,
     clean: &mut bool,
 ) -> Result<(Answer, Head), http::Error> {
     for _ in 0..MAX_FOREIGN {
-        let answer = link.connection.answer(MAX_HEAD_BYTES).await?;
+        let answer = pooled.connection.answer(MAX_HEAD_BYTES).await?;
         if answer.status < 200 {
             continue;
         }
@@ -244,28 +249,35 @@
         if answer.framing == Framing::UntilClose {
             return Err(http::Error::Malformed("an answer to another request"));
         }
-        link.connection
+        pooled
+            .connection
             .whole(Body::new(answer.framing), MAX_FOREIGN_BYTES)
             .await?;
     }
     Err(http::Error::Malformed("too many answers to other requests"))
 }
 
-async fn judge(core: &Shared, answer: Answer, head: &Head, mut link: Link, clean: bool) -> Outcome {
+async fn judge(
+    core: &Shared,
+    answer: Answer,
+    head: &Head,
+    mut pooled: PooledConnection,
+    clean: bool,
+) -> Outcome {
     let mut body = Body::new(answer.framing);
     if !head.not_run {
         return Outcome::Answered(Box::new(Reply {
             answer,
             body,
-            link,
+            pooled,
             clean,
             closes_after: head.closes_after,
         }));
     }
-    let complete = matches!(body.step(&mut link.connection.buffer), Ok(Step::End))
-        || link.connection.whole(body, MAX_FOREIGN_BYTES).await.is_ok();
+    let complete = matches!(body.step(&mut pooled.connection.buffer), Ok(Step::End))
+        || pooled.connection.whole(body, MAX_FOREIGN_BYTES).await.is_ok();
     if clean && complete && answer.keep_alive {
-        link::give(core, link, head.closes_after);
+        pool::put_back(core, pooled, head.closes_after);
     }
     Outcome::NotRun(answer.status)
 }
--- a/crates/jb-relay/src/deliver.rs
+++ b/crates/jb-relay/src/deliver.rs
@@ -11,7 +11,7 @@
 use crate::core::Shared;
 use crate::events::Splitter;
 use crate::http::{self, Answer, Connection, Framing, write_answer};
-use crate::link;
+use crate::pool;
 
 /// Longest answer that is held whole, so that one that breaks off never reaches the caller.
 const LONGEST_WHOLE: usize = 512 * 1024;
@@ -47,7 +47,7 @@
 async fn next(reply: &mut Reply, client: &mut Connection, left: Duration, silence: Option<Duration>) -> Part {
     let wait = silence.map_or(left, |silence| silence.min(left));
     tokio::select! {
-        part = reply.link.connection.part(&mut reply.body) => match part {
+        part = reply.pooled.connection.part(&mut reply.body) => match part {
             Ok(Some(data)) => Part::Data(data),
             Ok(None) => Part::End,
             Err(http::Error::Malformed(why)) => Part::Broken(why),
@@ -70,7 +70,7 @@
 
 fn release(core: &Shared, reply: Reply) {
     if reply.clean && reply.answer.keep_alive {
-        link::give(core, reply.link, reply.closes_after);
+        pool::put_back(core, reply.pooled, reply.closes_after);
     }
 }
 
--- a/crates/jb-relay/src/exchange/isolation.rs
+++ b/crates/jb-relay/src/exchange/isolation.rs
@@ -9,7 +9,7 @@
 use super::pick::Refused;
 use super::place::{self, Among, Choice};
 use super::run::Exchange;
-use crate::link;
+use crate::pool;
 use crate::quarantine;
 use crate::upstream::Instance;
 
@@ -115,7 +115,7 @@
     /// Notes it if the engine has ended. A connection that ends shows nothing by itself: networks
     /// and failing engines do that as well; but then the engine still takes another one.
     pub(super) async fn note_end(&self, instance: &Instance, isolated: bool) {
-        if link::has_ended(self.core, instance).await {
+        if pool::has_crashed(self.core, instance).await {
             let content = self.content();
             quarantine::note_end(self.core, content, instance, isolated);
         }
--- a/crates/jb-relay/src/peers/transfer.rs
+++ b/crates/jb-relay/src/peers/transfer.rs
@@ -22,7 +22,7 @@
 use crate::core::{Core, Shared};
 use crate::port::{Change, Revision};
 use crate::saturating_cast::saturating_cast;
-use crate::{accept, link};
+use crate::{accept, pool};
 
 /// Time for a connection to another box to come up.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -106,7 +106,7 @@
 /// Why there is no answer.
 pub async fn fetch(core: &Core, from: SocketAddr, after: Option<Revision>) -> Result<Transfer, Error> {
     let asked = core.now();
-    let connecting = timeout(CONNECT_TIMEOUT, link::connect(from));
+    let connecting = timeout(CONNECT_TIMEOUT, pool::connect(from));
     let late = || Error::Unreachable(std::io::ErrorKind::TimedOut.into());
     let stream = connecting.await.map_err(|_| late())?;
     let mut stream = stream.map_err(Error::Unreachable)?;
--- a/crates/jb-relay/src/link.rs
+++ b/crates/jb-relay/src/pool.rs
@@ -14,18 +14,18 @@
 /// Time for a connection to come up: several round trips inside a region.
 const CONNECT: Duration = Duration::from_millis(300);
 /// Rest after which an idle connection is not used again, unless the upstream names less.
-pub const LONGEST_IDLE: Duration = Duration::from_secs(8);
+pub const MAX_IDLE_TIME: Duration = Duration::from_secs(8);
 /// The same for requests that run at most once: a connection that the upstream
 /// has just closed would leave it open whether they ran.
-const LONGEST_IDLE_ONCE: Duration = Duration::from_secs(3);
+const MAX_IDLE_TIME_ONCE: Duration = Duration::from_secs(3);
 /// Share of the rest that an upstream names which is used.
 const IDLE_SHARE: f64 = 0.7;
 /// Idle connections to one upstream.
-const MOST_IDLE: usize = 24;
+const MAX_IDLE_CONNECTIONS: usize = 24;
 
 /// An idle connection.
 #[derive(Debug)]
-pub struct Idle {
+pub struct IdleConnection {
     connection: Connection,
     /// Since when it rests.
     pub since: Moment,
@@ -33,7 +33,7 @@
 }
 
 /// A connection in use; it counts as open until dropped.
-pub struct Link {
+pub struct PooledConnection {
     /// The connection.
     pub connection: Connection,
     /// Upstream.
@@ -53,16 +53,16 @@
     Refused(std::io::Error),
     /// It gives no word.
     #[error("no connection within {0:?}")]
-    Silent(Duration),
+    TimedOut(Duration),
 }
 
 /// An idle connection, or a new one.
 ///
 /// # Errors
 /// When none comes up; nothing has been sent then.
-pub async fn take(core: &Shared, upstream: &Instance, once: bool) -> Result<Link, Error> {
+pub async fn checkout(core: &Shared, upstream: &Instance, once: bool) -> Result<PooledConnection, Error> {
     if let Some(connection) = idle(core, upstream, once) {
-        return Ok(Link {
+        return Ok(PooledConnection {
             connection,
             upstream: upstream.clone(),
             used: true,
@@ -72,7 +72,7 @@
 }
 
 /// A new connection, if it comes up in time.
-async fn open(core: &Shared, upstream: &Instance, time: Duration) -> Result<Link, Error> {
+async fn open(core: &Shared, upstream: &Instance, time: Duration) -> Result<PooledConnection, Error> {
     let address = core
         .upstreams
         .borrow()
@@ -81,10 +81,10 @@
         .ok_or(Error::Gone)?;
     let stream = match timeout(time, connect(address)).await {
         Ok(stream) => stream.map_err(Error::Refused)?,
-        Err(_) => return Err(Error::Silent(time)),
+        Err(_) => return Err(Error::TimedOut(time)),
     };
     core.metrics.connections_opened.inc();
-    Ok(Link {
+    Ok(PooledConnection {
         connection: Connection::new(stream),
         upstream: upstream.clone(),
         used: false,
@@ -127,7 +127,7 @@
 /// show: one that lives takes another connection, which is kept for the next request. A cut of its
 /// data hall may refuse connections as well, so another upstream there has to take one. An upstream
 /// that leaves ends as planned.
-pub async fn has_ended(core: &Shared, upstream: &Instance) -> bool {
+pub async fn has_crashed(core: &Shared, upstream: &Instance) -> bool {
     if let Some(known) = core.upstreams.borrow().instance(upstream) {
         if known.entry.draining {
             return false;
@@ -151,8 +151,8 @@
 
 /// Opens a connection to see whether it comes up, and keeps it for the next request.
 async fn probe(core: &Shared, upstream: &Instance) -> Result<(), Error> {
-    let link = open(core, upstream, PROBE).await?;
-    give(core, link, None);
+    let pooled = open(core, upstream, PROBE).await?;
+    put_back(core, pooled, None);
     Ok(())
 }
 
@@ -177,7 +177,7 @@
     let pool = &mut upstreams.instance_mut(upstream)?.idle;
     while let Some(mut idle) = pool.pop() {
         let rest = if once {
-            idle.rest.min(LONGEST_IDLE_ONCE)
+            idle.rest.min(MAX_IDLE_TIME_ONCE)
         } else {
             idle.rest
         };
@@ -197,10 +197,10 @@
 }
 
 /// Keeps a connection for the next request.
-pub fn give(core: &Shared, link: Link, rest: Option<Duration>) {
-    let Link {
+pub fn put_back(core: &Shared, pooled: PooledConnection, rest: Option<Duration>) {
+    let PooledConnection {
         connection, upstream, ..
-    } = link;
+    } = pooled;
     if !connection.buffer.is_empty() {
         // Bytes after a whole answer belong to no request.
         return;
@@ -209,11 +209,13 @@
     let Some(known) = upstreams.instance_mut(&upstream) else {
         return;
     };
-    if known.idle.len() >= MOST_IDLE {
+    if known.idle.len() >= MAX_IDLE_CONNECTIONS {
         return;
     }
-    let rest = rest.map_or(LONGEST_IDLE, |named| named.mul_f64(IDLE_SHARE).min(LONGEST_IDLE));
-    known.idle.push(Idle {
+    let rest = rest.map_or(MAX_IDLE_TIME, |named| {
+        named.mul_f64(IDLE_SHARE).min(MAX_IDLE_TIME)
+    });
+    known.idle.push(IdleConnection {
         connection,
         since: core.now(),
         rest,
@@ -221,7 +223,7 @@
 }
 
 /// Closes connections that have rested too long.
-pub fn sweep(core: &Shared) {
+pub fn close_expired(core: &Shared) {
     let now = core.now();
     for upstream in core.upstreams.borrow_mut().values_mut() {
         upstream
--- a/crates/jb-relay/src/start.rs
+++ b/crates/jb-relay/src/start.rs
@@ -13,7 +13,7 @@
 use crate::core::{Components, Core, Shared};
 use crate::leader::Leader;
 use crate::settings::Settings;
-use crate::{cache_scan, follow, front, link, peers, ready, stop};
+use crate::{cache_scan, follow, front, peers, pool, ready, stop};
 
 /// New connections that wait to be accepted.
 const BACKLOG: u32 = 1024;
@@ -138,7 +138,7 @@
     loop {
         sleep(SWEEP).await;
         suspended = note_suspension(&core, suspended);
-        link::sweep(&core);
+        pool::close_expired(&core);
         peers::sweep(&core);
     }
 }
--- a/crates/jb-relay/src/upstream/state.rs
+++ b/crates/jb-relay/src/upstream/state.rs
@@ -11,7 +11,7 @@
 use jb_policy::rate_limit::Limit;
 
 use super::{Instance, Wanted};
-use crate::link::Idle;
+use crate::pool::IdleConnection;
 use crate::port::Entry;
 
 /// Time for which an upstream that refuses connections after one was lost gets nothing: as long as the first
@@ -61,7 +61,7 @@
     /// Its account, where this box keeps it.
     pub account: Account,
     /// Idle connections, the last used at the end.
-    pub idle: Vec<Idle>,
+    pub idle: Vec<IdleConnection>,
 }
 
 /// Load of an upstream.
