--- a/crates/jb-relay/src/admission.rs
+++ b/crates/jb-relay/src/admission.rs
@@ -35,9 +35,9 @@
     /// Its customer; `None` on public routes.
     pub customer: Option<id::Customer>,
     /// What it counts for in its customer's limit; `None` where there is no limit.
-    pub counts: Option<u64>,
+    pub quota_cost: Option<u64>,
     /// Text under which engines keep its prompt.
-    pub salt: String,
+    pub cache_salt: String,
     /// Urgency at an engine, 0 first.
     pub urgency: u8,
     /// Model that it names.
@@ -45,11 +45,11 @@
     /// Parts of its prompt.
     pub prompt: Vec<Segment>,
     /// Most tokens out.
-    pub out: u64,
+    pub max_output_tokens: u64,
     /// When its head had come.
-    pub arrived: Moment,
+    pub arrived_at: Moment,
     /// When it must be answered: the deadline, or the route's time-out before it.
-    pub until: Moment,
+    pub deadline: Moment,
 }
 
 /// Why a request is not let in. None of these has run.
@@ -142,7 +142,7 @@
         .pick_service(place::name_hash(id))
         .cloned()
         .ok_or(Refusal::NoService)?;
-    let salt = match &customer {
+    let cache_salt = match &customer {
         Some(customer) if customer.has_isolated_cache => format!("of {}", customer.name),
         _ => SHARED_SALT.to_owned(),
     };
@@ -156,12 +156,12 @@
     let model = query.headers.text(names.model).map(str::to_owned);
     let prompt = parts(
         query.headers.text(names.prompt_segments).unwrap_or_default(),
-        &salt,
+        &cache_salt,
     );
     let size = query.headers.text(names.token_counts).and_then(sizes);
-    let out = size.map_or(DEFAULT_OUT, |(_, out)| out);
+    let max_output_tokens = size.map_or(DEFAULT_OUT, |(_, out)| out);
     let quota = customer.as_ref().and_then(|customer| customer.quota);
-    let counts = quota.map(|quota| match quota.unit {
+    let quota_cost = quota.map(|quota| match quota.unit {
         QuotaUnit::Requests => 1,
         QuotaUnit::Tokens { default } => size.map_or(default, |(read, made)| read.saturating_add(made)),
     });
@@ -169,14 +169,14 @@
         id: id.to_owned(),
         service,
         customer: customer.map(|c| c.name),
-        counts,
-        salt,
+        quota_cost,
+        cache_salt,
         urgency: rank.min(9),
         model,
         prompt,
-        out,
-        arrived,
-        until,
+        max_output_tokens,
+        arrived_at: arrived,
+        deadline: until,
         configuration,
         route,
     })
@@ -207,7 +207,7 @@
 
 impl AdmittedRequest {
     /// Tokens of the prompt.
-    pub fn tokens(&self) -> u64 {
+    pub fn prompt_tokens(&self) -> u64 {
         self.prompt.iter().map(|segment| segment.tokens).sum()
     }
 }
--- a/crates/jb-relay/src/attempt.rs
+++ b/crates/jb-relay/src/attempt.rs
@@ -14,7 +14,7 @@
 use crate::pool::{self, PooledConnection};
 use crate::port::Entry;
 use crate::salt;
-use crate::signal::{self, Head};
+use crate::signal::{self, ParsedHead};
 use crate::unknown_signals;
 use crate::upstream::Instance;
 
@@ -28,7 +28,7 @@
 const RETURN_LATENCY: Duration = Duration::from_millis(5);
 
 /// What a send came to.
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// Nothing was sent.
     Unsent(String),
     /// Nothing was sent, as the upstream drains, backs off or is limited by now.
@@ -50,15 +50,15 @@
     /// Connection.
     pub pooled: PooledConnection,
     /// Whether the connection may be reused afterwards.
-    pub clean: bool,
+    pub reusable: bool,
     /// Idle time after which the upstream closes the connection.
-    pub closes_after: Option<Duration>,
+    pub keep_alive_timeout: Option<Duration>,
 }
 
 /// A request with its body, ready to be sent as often as it takes.
 pub struct Message<'a> {
     /// Head.
-    pub query: &'a Query,
+    pub head: &'a Query,
     /// Body.
     pub body: &'a Bytes,
     /// Its facts.
@@ -66,59 +66,64 @@
     /// Last event that the caller has, where a stream goes on.
     pub last_event: Option<u64>,
     /// Where the engine takes parts of the prompt from that it lacks.
-    pub source: Option<SocketAddr>,
+    pub kv_source: Option<SocketAddr>,
     /// Store that the engine sends the prompt's parts to once they are read.
-    pub store: Option<SocketAddr>,
+    pub kv_target: Option<SocketAddr>,
 }
 
 impl Message<'_> {
     /// What it asks, as other boxes and later tries of its caller name it.
     pub fn content(&self) -> Content {
-        let host = self.query.headers.get("host").unwrap_or_default();
+        let host = self.head.headers.get("host").unwrap_or_default();
         let caller = self.request.customer.as_deref().unwrap_or_default();
-        Content::new(caller, &[host, &self.query.target], self.body)
+        Content::new(caller, &[host, &self.head.target], self.body)
     }
 }
 
 /// Sends a request and waits for the head of its answer.
-pub async fn send(core: &Shared, instance: &Instance, message: &Message<'_>, permit: Permit) -> Outcome {
+pub async fn send(
+    core: &Shared,
+    instance: &Instance,
+    message: &Message<'_>,
+    permit: Permit,
+) -> AttemptOutcome {
     let entry = core
         .upstreams
         .borrow()
         .instance(instance)
         .map(|upstream| upstream.entry.clone());
     let Some(entry) = entry else {
-        return Outcome::Unsent("the upstream has gone".to_owned());
+        return AttemptOutcome::Unsent("the upstream has gone".to_owned());
     };
     let once = !message.request.route.is_retryable();
     let mut pooled = match pool::checkout(core, instance, once).await {
         Ok(pooled) => pooled,
         Err(why) => {
             note_unreached(core, &entry, instance, &why);
-            return Outcome::Unsent(why.to_string());
+            return AttemptOutcome::Unsent(why.to_string());
         }
     };
     if !core.accepts_requests(instance, permit) {
         pool::put_back(core, pooled, None);
-        return Outcome::Withdrawn;
+        return AttemptOutcome::Withdrawn;
     }
     let head = head(core, &instance.id, &entry, message);
-    let mut clean = true;
+    let mut reusable = true;
     let sent = core.now();
-    match exchange(&mut pooled, &head, message.body, &mut clean).await {
+    match exchange(&mut pooled, &head, message.body, &mut reusable).await {
         Ok(()) => {}
-        Err(why) => return Outcome::Failed(why.to_string()),
+        Err(why) => return AttemptOutcome::Failed(why.to_string()),
     }
-    match own_answer(core, instance, &mut pooled, message.request, sent, &mut clean).await {
+    match own_answer(core, instance, &mut pooled, message.request, sent, &mut reusable).await {
         Ok((answer, head)) => {
             if entry.hall != core.settings.hall {
                 core.hall_reachability
                     .borrow_mut()
                     .note_reached(&entry.hall, core.now());
             }
-            judge(core, answer, &head, pooled, clean).await
+            judge(core, answer, &head, pooled, reusable).await
         }
-        Err(why) => Outcome::Failed(why.to_string()),
+        Err(why) => AttemptOutcome::Failed(why.to_string()),
     }
 }
 
@@ -136,7 +141,7 @@
     let names = &core.header_names;
     let request = message.request;
     let left = request
-        .until
+        .deadline
         .saturating_sub(core.now() + RETURN_LATENCY)
         .as_millis()
         .to_string();
@@ -152,9 +157,9 @@
     // The engine confirms the version.
     let weights = entry.weights(request.model.as_deref().unwrap_or_default());
     let version = weights.map(|version| version.to_string());
-    let salt = salt::encode(&request.salt, weights);
-    let source = message.source.map(|source| source.to_string());
-    let store = message.store.map(|store| store.to_string());
+    let salt = salt::encode(&request.cache_salt, weights);
+    let source = message.kv_source.map(|source| source.to_string());
+    let store = message.kv_target.map(|store| store.to_string());
     if let Some(version) = &version {
         own.push((names.expected_weights.as_bytes(), version.as_bytes()));
         own.push((names.cache_salt.as_bytes(), salt.as_bytes()));
@@ -178,16 +183,16 @@
             || name.eq_ignore_ascii_case(names.deadline.as_bytes())
             || (last.is_some() && name.eq_ignore_ascii_case(names.last_event.as_bytes()))
     };
-    let passed = message.query.headers.end_to_end().filter(|h| !replaced(&h.name));
+    let passed = message.head.headers.end_to_end().filter(|h| !replaced(&h.name));
     let lines = passed.map(|h| (h.name.as_ref(), h.value.as_ref())).chain(own);
-    let bodiless = message.body.is_empty() && message.query.framing == Framing::Length(0);
-    let stated = message.query.headers.get("content-length").is_some();
+    let bodiless = message.body.is_empty() && message.head.framing == Framing::Length(0);
+    let stated = message.head.headers.get("content-length").is_some();
     let framing = (!bodiless || stated).then(|| Framing::Length(message.body.len() as u64));
     let mut out = BytesMut::with_capacity(1024);
     write_query(
         &mut out,
-        &message.query.method,
-        &message.query.target,
+        &message.head.method,
+        &message.head.target,
         lines,
         framing,
     );
@@ -199,7 +204,7 @@
     pooled: &mut PooledConnection,
     head: &[u8],
     body: &[u8],
-    clean: &mut bool,
+    reusable: &mut bool,
 ) -> Result<(), http::Error> {
     use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
     let (mut read, mut write, buffer) = pooled.connection.halves();
@@ -209,10 +214,10 @@
         biased;
         written = write.write_all(&whole) => {
             // An upstream may have answered and closed before it read all.
-            *clean &= written.is_ok();
+            *reusable &= written.is_ok();
         }
         got = read.read(&mut early) => {
-            *clean = false;
+            *reusable = false;
             let got = got?;
             if got == 0 {
                 return Err(http::Error::Cut);
@@ -230,14 +235,14 @@
     pooled: &mut PooledConnection,
     request: &AdmittedRequest,
     sent: Moment,
-    clean: &mut bool,
-) -> Result<(Answer, Head), http::Error> {
+    reusable: &mut bool,
+) -> Result<(Answer, ParsedHead), http::Error> {
     for _ in 0..MAX_FOREIGN {
         let answer = pooled.connection.answer(MAX_HEAD_BYTES).await?;
         if answer.status < 200 {
             continue;
         }
-        let head = signal::read(&core.header_names, &answer);
+        let head = signal::parse(&core.header_names, &answer);
         if answer.headers.text(core.header_names.request_id) == Some(request.id.as_str()) {
             unknown_signals::note(core, instance, &answer.headers);
             signal::apply(core, instance, request.model.as_deref(), &head, sent);
@@ -245,7 +250,7 @@
         }
         // An extra answer to an earlier request on this connection.
         signal::apply_late(core, instance, &head);
-        *clean = false;
+        *reusable = false;
         if answer.framing == Framing::UntilClose {
             return Err(http::Error::Malformed("an answer to another request"));
         }
@@ -260,24 +265,24 @@
 async fn judge(
     core: &Shared,
     answer: Answer,
-    head: &Head,
+    head: &ParsedHead,
     mut pooled: PooledConnection,
-    clean: bool,
-) -> Outcome {
+    reusable: bool,
+) -> AttemptOutcome {
     let mut body = Body::new(answer.framing);
-    if !head.not_run {
-        return Outcome::Answered(Box::new(Reply {
+    if !head.not_executed {
+        return AttemptOutcome::Answered(Box::new(Reply {
             answer,
             body,
             pooled,
-            clean,
-            closes_after: head.closes_after,
+            reusable,
+            keep_alive_timeout: head.keep_alive_timeout,
         }));
     }
     let complete = matches!(body.step(&mut pooled.connection.buffer), Ok(Step::End))
         || pooled.connection.whole(body, MAX_FOREIGN_BYTES).await.is_ok();
-    if clean && complete && answer.keep_alive {
-        pool::put_back(core, pooled, head.closes_after);
+    if reusable && complete && answer.keep_alive {
+        pool::put_back(core, pooled, head.keep_alive_timeout);
     }
-    Outcome::NotRun(answer.status)
+    AttemptOutcome::NotRun(answer.status)
 }
--- a/crates/jb-relay/src/core.rs
+++ b/crates/jb-relay/src/core.rs
@@ -253,7 +253,10 @@
     /// The last restore of the store, while what it has lost may not be written again.
     pub fn recent_restore(&self) -> Option<Restore> {
         let now = self.now();
-        let restore = self.last_restore.get().filter(|restore| now < restore.ends());
+        let restore = self
+            .last_restore
+            .get()
+            .filter(|restore| now < restore.settles_at());
         restore.filter(|restore| !self.is_settled(restore.era))
     }
 
@@ -261,8 +264,8 @@
     pub fn note_restore(&self, era: Era) {
         self.last_restore.set(Some(Restore {
             era,
-            noticed: self.now(),
-            proven: self.keys_proven(),
+            noticed_at: self.now(),
+            verified_at: self.keys_proven(),
         }));
     }
 
@@ -272,8 +275,8 @@
         if may_be_restored {
             self.last_restore.set(Some(Restore {
                 era,
-                noticed: self.now(),
-                proven: None,
+                noticed_at: self.now(),
+                verified_at: None,
             }));
         }
     }
@@ -293,7 +296,9 @@
     fn keys_proven(&self) -> Option<Moment> {
         let proven = self.verified_at.get();
         match self.last_restore.get() {
-            Some(restore) if !self.is_settled(restore.era) && proven < Some(restore.ends()) => restore.proven,
+            Some(restore) if !self.is_settled(restore.era) && proven < Some(restore.settles_at()) => {
+                restore.verified_at
+            }
             _ => proven,
         }
     }
--- a/crates/jb-relay/src/deliver.rs
+++ b/crates/jb-relay/src/deliver.rs
@@ -9,7 +9,7 @@
 use crate::admission::AdmittedRequest;
 use crate::attempt::{Message, Reply};
 use crate::core::Shared;
-use crate::events::Splitter;
+use crate::events::EventSplitter;
 use crate::http::{self, Answer, Connection, Framing, write_answer};
 use crate::pool;
 
@@ -20,7 +20,7 @@
 
 /// How a delivery ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Delivered {
+pub enum DeliveryOutcome {
     /// The caller has all of it.
     Complete,
     /// The answer broke off before a byte of it was passed on.
@@ -69,8 +69,8 @@
 }
 
 fn release(core: &Shared, reply: Reply) {
-    if reply.clean && reply.answer.keep_alive {
-        pool::put_back(core, reply.pooled, reply.closes_after);
+    if reply.reusable && reply.answer.keep_alive {
+        pool::put_back(core, reply.pooled, reply.keep_alive_timeout);
     }
 }
 
@@ -80,10 +80,10 @@
     request: &AdmittedRequest,
     mut reply: Reply,
     client: &mut Connection,
-) -> Delivered {
+) -> DeliveryOutcome {
     let mut body = BytesMut::new();
     loop {
-        let left = request.until.saturating_sub(core.now());
+        let left = request.deadline.saturating_sub(core.now());
         match next(&mut reply, client, left, None).await {
             Part::Data(data) if body.len() + data.len() > LONGEST_WHOLE => {
                 body.extend_from_slice(&data);
@@ -91,17 +91,17 @@
             }
             Part::Data(data) => body.extend_from_slice(&data),
             Part::End => break,
-            Part::Broken(why) => return Delivered::Nothing(why),
-            Part::Silent | Part::Late => return Delivered::Nothing("the time is over"),
-            Part::CallerGone => return Delivered::CallerGone,
+            Part::Broken(why) => return DeliveryOutcome::Nothing(why),
+            Part::Silent | Part::Late => return DeliveryOutcome::Nothing("the time is over"),
+            Part::CallerGone => return DeliveryOutcome::CallerGone,
         }
     }
     let mut out = head(core, &reply.answer, Framing::Length(body.len() as u64));
     out.put_slice(&body);
     release(core, reply);
     match client.send(&out).await {
-        Ok(()) => Delivered::Complete,
-        Err(_) => Delivered::CallerGone,
+        Ok(()) => DeliveryOutcome::Complete,
+        Err(_) => DeliveryOutcome::CallerGone,
     }
 }
 
@@ -112,7 +112,7 @@
     mut reply: Reply,
     client: &mut Connection,
     first: BytesMut,
-) -> Delivered {
+) -> DeliveryOutcome {
     let framing = match reply.answer.framing {
         Framing::Length(length) => Framing::Length(length),
         Framing::Chunked | Framing::UntilClose => Framing::Chunked,
@@ -121,23 +121,23 @@
     put(&mut out, framing, &first);
     loop {
         if client.send(&out).await.is_err() {
-            return Delivered::CallerGone;
+            return DeliveryOutcome::CallerGone;
         }
         out.clear();
-        let left = request.until.saturating_sub(core.now());
+        let left = request.deadline.saturating_sub(core.now());
         match next(&mut reply, client, left, None).await {
             Part::Data(data) => put(&mut out, framing, &data),
             Part::End => break,
-            Part::Broken(why) => return Delivered::Partly(why),
-            Part::Silent | Part::Late => return Delivered::Late,
-            Part::CallerGone => return Delivered::CallerGone,
+            Part::Broken(why) => return DeliveryOutcome::Partly(why),
+            Part::Silent | Part::Late => return DeliveryOutcome::Late,
+            Part::CallerGone => return DeliveryOutcome::CallerGone,
         }
     }
     if framing == Framing::Chunked && client.send(LAST_CHUNK).await.is_err() {
-        return Delivered::CallerGone;
+        return DeliveryOutcome::CallerGone;
     }
     release(core, reply);
-    Delivered::Complete
+    DeliveryOutcome::Complete
 }
 
 fn put(out: &mut BytesMut, framing: Framing, data: &[u8]) {
@@ -152,7 +152,7 @@
 
 /// Pace of a stream as the caller sees it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
+pub struct StreamTiming {
     /// Time to the first event.
     pub first: Option<Duration>,
     /// Longest pause between two events.
@@ -160,11 +160,11 @@
     last: Moment,
 }
 
-impl Pace {
+impl StreamTiming {
     fn event(&mut self, core: &Shared, request: &AdmittedRequest) {
         let now = core.now();
         if self.first.is_none() {
-            let first = now.saturating_sub(request.arrived);
+            let first = now.saturating_sub(request.arrived_at);
             core.metrics.first_byte.observe(first.as_secs_f64());
             self.first = Some(first);
         } else {
@@ -183,12 +183,12 @@
     message: &mut Message<'_>,
     mut reply: Reply,
     client: &mut Connection,
-    pace: &mut Pace,
+    pace: &mut StreamTiming,
     mut started: impl FnMut(),
     mut elsewhere: impl FnMut() -> bool,
-) -> Delivered {
+) -> DeliveryOutcome {
     let request = message.request;
-    let mut events = Splitter::default();
+    let mut events = EventSplitter::default();
     // The head goes out with the first event; a stream that goes on has one already.
     let mut out = match message.last_event {
         Some(_) => BytesMut::new(),
@@ -200,7 +200,7 @@
         .resumable
         .then(|| request.route.stream_stall_timeout());
     loop {
-        let left = request.until.saturating_sub(core.now());
+        let left = request.deadline.saturating_sub(core.now());
         let patience = if begun { silence } else { None };
         match next(&mut reply, client, left, patience).await {
             Part::Data(data) => {
@@ -223,7 +223,7 @@
                 pace.event(core, request);
                 begun = true;
                 if client.send(&out).await.is_err() {
-                    return Delivered::CallerGone;
+                    return DeliveryOutcome::CallerGone;
                 }
                 out.clear();
             }
@@ -233,30 +233,30 @@
             Part::Silent if elsewhere() => return broken(begun, "silent within the stream"),
             // Silence alone is no reason to end a stream.
             Part::Silent => {}
-            Part::Late if begun => return Delivered::Late,
-            Part::Late => return Delivered::Nothing("the time is over"),
-            Part::CallerGone => return Delivered::CallerGone,
+            Part::Late if begun => return DeliveryOutcome::Late,
+            Part::Late => return DeliveryOutcome::Nothing("the time is over"),
+            Part::CallerGone => return DeliveryOutcome::CallerGone,
         }
     }
     out.put_slice(LAST_CHUNK);
     release(core, reply);
     match client.send(&out).await {
-        Ok(()) => Delivered::Complete,
-        Err(_) => Delivered::CallerGone,
+        Ok(()) => DeliveryOutcome::Complete,
+        Err(_) => DeliveryOutcome::CallerGone,
     }
 }
 
-fn broken(begun: bool, why: &'static str) -> Delivered {
+fn broken(begun: bool, why: &'static str) -> DeliveryOutcome {
     if begun {
-        Delivered::Partly(why)
+        DeliveryOutcome::Partly(why)
     } else {
-        Delivered::Nothing(why)
+        DeliveryOutcome::Nothing(why)
     }
 }
 
 /// Passes on the whole events at hand, each once and in order.
 fn take_events(
-    events: &mut Splitter,
+    events: &mut EventSplitter,
     message: &mut Message<'_>,
     out: &mut BytesMut,
 ) -> Result<(), &'static str> {
--- a/crates/jb-relay/src/events.rs
+++ b/crates/jb-relay/src/events.rs
@@ -17,11 +17,11 @@
 
 /// Cuts a stream into whole events.
 #[derive(Debug, Default)]
-pub struct Splitter {
+pub struct EventSplitter {
     rest: BytesMut,
 }
 
-impl Splitter {
+impl EventSplitter {
     /// Takes bytes in.
     pub fn push(&mut self, bytes: &[u8]) {
         self.rest.extend_from_slice(bytes);
--- a/crates/jb-relay/src/exchange/ask.rs
+++ b/crates/jb-relay/src/exchange/ask.rs
@@ -9,7 +9,7 @@
 use jb_policy::choose::{self, Candidate, Tuning};
 use jb_policy::gate::{Estimate, Verdict};
 
-use super::place::{self, Among, Choice};
+use super::place::{self, CandidateSet, Choice};
 use crate::admission::AdmittedRequest;
 use crate::core::Shared;
 use crate::peers::{self, Held, Prompt, Room, View};
@@ -52,7 +52,7 @@
     request: &AdmittedRequest,
     body: &Bytes,
     tried: &[Instance],
-    among: Among,
+    among: CandidateSet,
 ) -> Option<Choice> {
     let (last, shared) = request.prompt.split_last()?;
     let ask = Ask {
@@ -60,8 +60,8 @@
         wanted: place::wanted(core, request, body, tried, among),
         prompt: Prompt {
             shared,
-            own: last.tokens + request.out,
-            until: request.until,
+            own: last.tokens + request.max_output_tokens,
+            until: request.deadline,
         },
         tuning: place::tuning(core, request),
         place: peers::draw(core),
--- a/crates/jb-relay/src/exchange/count.rs
+++ b/crates/jb-relay/src/exchange/count.rs
@@ -9,7 +9,7 @@
 use crate::upstream::Instance;
 
 /// Load of one request at one upstream, counted until dropped.
-pub(super) struct Counted<'a> {
+pub(super) struct LoadGuard<'a> {
     core: &'a Shared,
     instance: &'a Instance,
     waiting: u64,
@@ -23,7 +23,7 @@
     held: Option<Held>,
 }
 
-impl<'a> Counted<'a> {
+impl<'a> LoadGuard<'a> {
     pub(super) fn new(
         core: &'a Shared,
         instance: &'a Instance,
@@ -84,7 +84,7 @@
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for LoadGuard<'_> {
     fn drop(&mut self) {
         self.started();
         self.core
--- a/crates/jb-relay/src/exchange/isolation.rs
+++ b/crates/jb-relay/src/exchange/isolation.rs
@@ -6,8 +6,8 @@
 use jb_policy::gate::{Estimate, Verdict};
 use jb_policy::poison;
 
-use super::pick::Refused;
-use super::place::{self, Among, Choice};
+use super::pick::Rejection;
+use super::place::{self, CandidateSet, Choice};
 use super::run::Exchange;
 use crate::pool;
 use crate::quarantine;
@@ -22,7 +22,7 @@
 pub(super) const SUSPECT_PATIENCE: Duration = Duration::from_secs(1);
 
 /// Whether a request may go to an engine now.
-pub(super) enum Pass {
+pub(super) enum Clearance {
     /// To any.
     Freely,
     /// To this one, in an isolated trial.
@@ -30,23 +30,23 @@
     /// Once there is one for it.
     Later,
     /// To none.
-    Never(Refused),
+    Never(Rejection),
 }
 
 impl Exchange<'_> {
     /// Whether it may go to an engine; a suspect waits for one until a moment.
-    pub(super) fn pass(&self, until: Moment) -> Pass {
+    pub(super) fn pass(&self, until: Moment) -> Clearance {
         match self.verdict() {
-            poison::Verdict::Unsuspected => Pass::Freely,
+            poison::Verdict::Unsuspected => Clearance::Freely,
             poison::Verdict::Suspected => match self.choose_isolated() {
-                Some(choice) => Pass::Isolated(Box::new(choice)),
-                None if self.core.now() >= until => Pass::Never(Refused {
+                Some(choice) => Clearance::Isolated(Box::new(choice)),
+                None if self.core.now() >= until => Clearance::Never(Rejection {
                     why: "suspect_waits",
                     after: SUSPECT_RETRY_AFTER,
                 }),
-                None => Pass::Later,
+                None => Clearance::Later,
             },
-            poison::Verdict::Quarantined => Pass::Never(self.reject_quarantined()),
+            poison::Verdict::Quarantined => Clearance::Never(self.reject_quarantined()),
         }
     }
 
@@ -66,7 +66,7 @@
     }
 
     /// The refusal of a request that is shown to end engines.
-    fn reject_quarantined(&self) -> Refused {
+    fn reject_quarantined(&self) -> Rejection {
         let content = self.content();
         let after = self
             .core
@@ -74,7 +74,7 @@
             .ledger()
             .forgotten_after(content, self.core.now());
         self.core.metrics.quarantine_rejections.inc();
-        Refused {
+        Rejection {
             why: "ends_engines",
             after,
         }
@@ -95,9 +95,9 @@
             (ledger.trials(now), ledger.ended(content))
         };
         let request = self.message.request;
-        let wanted = place::wanted(core, request, self.message.body, &self.tried, Among::Sure);
-        let instances = |instance: &Instance| !ended.contains(&quarantine::engine(instance));
-        let free = |instance: &Instance| !trials.contains(&quarantine::engine(instance));
+        let wanted = place::wanted(core, request, self.message.body, &self.tried, CandidateSet::Sure);
+        let instances = |instance: &Instance| !ended.contains(&quarantine::engine_name(instance));
+        let free = |instance: &Instance| !trials.contains(&quarantine::engine_name(instance));
         let instance = core.upstreams.borrow().quietest(&wanted, instances, free, now)?;
         Some(Choice {
             instance,
@@ -117,7 +117,7 @@
     pub(super) async fn note_end(&self, instance: &Instance, isolated: bool) {
         if pool::has_crashed(self.core, instance).await {
             let content = self.content();
-            quarantine::note_end(self.core, content, instance, isolated);
+            quarantine::note_crash(self.core, content, instance, isolated);
         }
     }
 
@@ -125,7 +125,7 @@
     pub(super) fn note_run(&self, instance: &Instance) {
         if !self.core.quarantine.is_empty() {
             let content = self.content();
-            quarantine::note_run(self.core, content, instance);
+            quarantine::note_success(self.core, content, instance);
         }
     }
 }
--- a/crates/jb-relay/src/exchange/mod.rs
+++ b/crates/jb-relay/src/exchange/mod.rs
@@ -9,4 +9,4 @@
 mod prompt;
 mod run;
 
-pub use run::{Ending, Exchange};
+pub use run::{Exchange, RequestOutcome};
--- a/crates/jb-relay/src/exchange/pick.rs
+++ b/crates/jb-relay/src/exchange/pick.rs
@@ -6,7 +6,7 @@
 use jb_policy::gate::Verdict;
 use tokio::time::sleep;
 
-use super::isolation::{Pass, SUSPECT_PATIENCE};
+use super::isolation::{Clearance, SUSPECT_PATIENCE};
 use super::place::{self, Choice};
 use super::run::Exchange;
 use crate::http::Connection;
@@ -21,7 +21,7 @@
 
 /// Why a request goes to no engine now.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Refused {
+pub(super) struct Rejection {
     pub(super) why: &'static str,
     /// Time after which its caller may come back.
     pub(super) after: Duration,
@@ -35,18 +35,18 @@
         // A stream that goes on may pause for as long as its route allows.
         let until = match self.message.last_event {
             Some(_) => self.core.now() + request.route.max_event_gap,
-            None => request.arrived + request.route.target_latency.mul_f64(WAIT_SHARE),
+            None => request.arrived_at + request.route.target_latency.mul_f64(WAIT_SHARE),
         };
-        let suspect_until = (self.core.now() + SUSPECT_PATIENCE).min(request.until);
+        let suspect_until = (self.core.now() + SUSPECT_PATIENCE).min(request.deadline);
         loop {
             match self.pass(suspect_until) {
-                Pass::Freely => {}
-                Pass::Isolated(choice) => return Some(*choice),
-                Pass::Later => {
+                Clearance::Freely => {}
+                Clearance::Isolated(choice) => return Some(*choice),
+                Clearance::Later => {
                     self.wait(LOOK_FOR_PLACE, client).await?;
                     continue;
                 }
-                Pass::Never(refused) => {
+                Clearance::Never(refused) => {
                     self.refused = Some(refused);
                     return None;
                 }
@@ -58,7 +58,7 @@
                     Verdict::Send => return Some(choice),
                     Verdict::Wait => LOOK_FOR_PLACE,
                     Verdict::Refuse(after) => {
-                        self.refused = Some(Refused {
+                        self.refused = Some(Rejection {
                             why: "no_room",
                             after,
                         });
@@ -79,9 +79,9 @@
 
     /// Rejects a request whose upstreams all back off or are limited until after a moment, those that have
     /// rejected it included.
-    fn reject_backing_off(&self, until: Moment) -> Option<Refused> {
+    fn reject_backing_off(&self, until: Moment) -> Option<Rejection> {
         let back = place::first_back(self.core, self.message.request, self.message.body)?;
-        (back > until).then(|| Refused {
+        (back > until).then(|| Rejection {
             why: "all_back_off",
             after: back.saturating_sub(self.core.now()),
         })
--- a/crates/jb-relay/src/exchange/place.rs
+++ b/crates/jb-relay/src/exchange/place.rs
@@ -38,7 +38,7 @@
 
 /// Upstreams among which is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Among {
+pub(super) enum CandidateSet {
     /// Those whose entries are there, in reachable data halls.
     Reachable,
     /// Those whose entries are there.
@@ -59,16 +59,18 @@
     tried: &[Instance],
 ) -> Option<Choice> {
     if avoided(core) != Avoided::None {
-        let reachable = advised(core, request, body, tried, Among::Reachable).await;
+        let reachable = advised(core, request, body, tried, CandidateSet::Reachable).await;
         if reachable.as_ref().is_some_and(Choice::has_place) {
             return reachable;
         }
     }
-    let sure = advised(core, request, body, tried, Among::Sure).await;
+    let sure = advised(core, request, body, tried, CandidateSet::Sure).await;
     if sure.as_ref().is_some_and(Choice::has_place) || !has_last_resort(core, request) {
         return sure;
     }
-    advised(core, request, body, tried, Among::All).await.or(sure)
+    advised(core, request, body, tried, CandidateSet::All)
+        .await
+        .or(sure)
 }
 
 async fn advised(
@@ -76,7 +78,7 @@
     request: &AdmittedRequest,
     body: &Bytes,
     tried: &[Instance],
-    among: Among,
+    among: CandidateSet,
 ) -> Option<Choice> {
     let by_account = !request.prompt.is_empty() && !core.book.borrow().is_small();
     if by_account && let Some(choice) = ask::choose(core, request, body, tried, among).await {
@@ -106,7 +108,7 @@
     request: &AdmittedRequest,
     body: &Bytes,
     tried: &[Instance],
-    among: Among,
+    among: CandidateSet,
 ) -> Option<Choice> {
     let wanted = wanted(core, request, body, tried, among);
     let (ids, candidates) = core.upstreams.borrow().candidates(&wanted, core.now());
@@ -153,13 +155,13 @@
     if request.prompt.is_empty() {
         return Verdict::Send;
     }
-    let left = request.until.saturating_sub(request.arrived);
+    let left = request.deadline.saturating_sub(request.arrived_at);
     let target = request.route.target_latency.min(left);
     let urgent = request
         .configuration
         .min_target_latency(&request.service, request.route.priority);
     let request = gate::Request {
-        waited: core.now().saturating_sub(request.arrived),
+        waited: core.now().saturating_sub(request.arrived_at),
         target,
         urgent: urgent.unwrap_or(target),
     };
@@ -169,12 +171,12 @@
 /// Whether another upstream takes a request whose upstream is silent: one is open, and the
 /// retry budget has granted the send.
 pub(super) fn goes_on(core: &Core, request: &AdmittedRequest, body: &Bytes, tried: &[Instance]) -> bool {
-    choose(core, request, body, tried, Among::All).is_some() && core.take_retry(&request.service)
+    choose(core, request, body, tried, CandidateSet::All).is_some() && core.take_retry(&request.service)
 }
 
 /// When the first upstream is back, where all that a new try of the request could go to rest.
 pub(super) fn first_back(core: &Core, request: &AdmittedRequest, body: &Bytes) -> Option<Moment> {
-    let wanted = wanted(core, request, body, &[], Among::All);
+    let wanted = wanted(core, request, body, &[], CandidateSet::All);
     core.upstreams.borrow().first_back(&wanted, core.now())
 }
 
@@ -183,7 +185,7 @@
     request: &'a AdmittedRequest,
     body: &Bytes,
     tried: &'a [Instance],
-    among: Among,
+    among: CandidateSet,
 ) -> Wanted<'a> {
     let model = request.model.as_deref();
     Wanted {
@@ -196,10 +198,10 @@
         hall: &core.settings.hall,
         demand: demand(request, body),
         except: tried,
-        last_resort: among == Among::All,
+        last_resort: among == CandidateSet::All,
         avoided: match among {
-            Among::Reachable => avoided(core),
-            Among::Sure | Among::All => Avoided::None,
+            CandidateSet::Reachable => avoided(core),
+            CandidateSet::Sure | CandidateSet::All => Avoided::None,
         },
     }
 }
--- a/crates/jb-relay/src/exchange/prompt.rs
+++ b/crates/jb-relay/src/exchange/prompt.rs
@@ -9,7 +9,7 @@
 use jb_protocol::{emit, event};
 
 use super::ask::Advice;
-use super::place::{self, Among};
+use super::place::{self, CandidateSet};
 use super::run::Exchange;
 use crate::peers::{self, Placed};
 use crate::upstream::Instance;
@@ -34,30 +34,37 @@
         if let Some(advice) = advice {
             return self.place_advised(instance, last.tokens, advice);
         }
-        let wanted = place::wanted(core, request, self.message.body, &self.tried, Among::Sure);
+        let wanted = place::wanted(core, request, self.message.body, &self.tried, CandidateSet::Sure);
         let other = core.upstreams.borrow().source(instance, &wanted, core.now());
-        let Some((found, version)) = self.note_read(instance, shared, last.tokens + request.out) else {
+        let Some((found, version)) =
+            self.note_read(instance, shared, last.tokens + request.max_output_tokens)
+        else {
             return 0;
         };
         let engine = found + other.map_or(0, |source| source.tokens);
         let holdings = self.holdings(shared, version, found, engine);
         let plan = transfer::plan(&holdings);
-        self.message.source = match plan.origin {
+        self.message.kv_source = match plan.origin {
             Origin::Nowhere => None,
             Origin::Engine => other.map(|source| source.address),
             Origin::Store => self.read_from_store(shared, version),
         };
-        self.message.store = self.send_to_store(shared, version, last.tokens + request.out, holdings.store);
+        self.message.kv_target = self.send_to_store(
+            shared,
+            version,
+            last.tokens + request.max_output_tokens,
+            holdings.store,
+        );
         let unread = request
-            .tokens()
+            .prompt_tokens()
             .saturating_sub(found + plan.tokens)
             .max(last.tokens);
         let upstreams = core.upstreams.borrow();
         let upstream = upstreams.instance(instance);
         emit!(core.logger, info, event::REQUEST_PLACED, "request" => &request.id, "upstream" => %instance,
-            "tokens" => request.tokens(), "shared" => self.demand().shared(), "found" => found,
+            "tokens" => request.prompt_tokens(), "shared" => self.demand().shared(), "found" => found,
             "brought" => plan.tokens, "unread" => unread, "origin" => ?plan.origin,
-            "from" => self.message.source.map(|from| from.to_string()), "to_store" => self.message.store.is_some(),
+            "from" => self.message.kv_source.map(|from| from.to_string()), "to_store" => self.message.kv_target.is_some(),
             "family" => self.demand().family(),
             "running" => upstream.map(|upstream| upstream.running + upstream.others.running),
             "waiting" => upstream.map(|upstream| upstream.waiting + upstream.others.waiting), "weights" => version);
@@ -82,20 +89,20 @@
             has_store: store.is_some(),
             sure: true,
         });
-        self.message.source = match plan.origin {
+        self.message.kv_source = match plan.origin {
             Origin::Nowhere => None,
             Origin::Engine => advice.other.map(|(address, _)| address),
             Origin::Store => store,
         };
-        self.message.store = store.filter(|_| advice.send_to_store);
+        self.message.kv_target = store.filter(|_| advice.send_to_store);
         let unread = request
-            .tokens()
+            .prompt_tokens()
             .saturating_sub(advice.found + plan.tokens)
             .max(own);
         emit!(core.logger, info, event::REQUEST_PLACED, "request" => &request.id, "upstream" => %instance,
-            "tokens" => request.tokens(), "shared" => shared, "found" => advice.found,
+            "tokens" => request.prompt_tokens(), "shared" => shared, "found" => advice.found,
             "brought" => plan.tokens, "unread" => unread, "origin" => ?plan.origin, "stored" => advice.stored,
-            "from" => self.message.source.map(|from| from.to_string()), "to_store" => self.message.store.is_some(),
+            "from" => self.message.kv_source.map(|from| from.to_string()), "to_store" => self.message.kv_target.is_some(),
             "family" => self.demand().family(), "running" => advice.load.running,
             "waiting" => advice.load.waiting);
         unread
--- a/crates/jb-relay/src/exchange/run.rs
+++ b/crates/jb-relay/src/exchange/run.rs
@@ -10,15 +10,15 @@
 use jb_protocol::{emit, event};
 use tokio::time::sleep;
 
-use super::count::Counted;
+use super::count::LoadGuard;
 use super::isolation::CRASH_WINDOW;
-use super::pick::Refused;
+use super::pick::Rejection;
 use super::place::{self, Choice};
 use crate::admission::AdmittedRequest;
-use crate::attempt::{self, Message, Outcome, Reply};
+use crate::attempt::{self, AttemptOutcome, Message, Reply};
 use crate::configuration::RouteKind;
 use crate::core::Shared;
-use crate::deliver::{self, Delivered, Pace};
+use crate::deliver::{self, DeliveryOutcome, StreamTiming};
 use crate::http::{Connection, Query};
 use crate::peers::{self, Held, Permit};
 use crate::quarantine;
@@ -29,7 +29,7 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestOutcome {
     /// The upstream's answer was delivered.
     Answered(u16),
     /// Nothing has run.
@@ -54,12 +54,12 @@
     /// Whether the next send is taken from the retry budget already.
     pub(super) paid: bool,
     /// Why it goes to no engine now.
-    pub(super) refused: Option<Refused>,
+    pub(super) refused: Option<Rejection>,
     /// What it asks, once that was worked out.
     pub(super) content: OnceCell<Content>,
     /// Where the end of the request is noted for the engine's account.
     pub(super) ending: Option<Rc<Cell<peers::Ending>>>,
-    pub(super) pace: Pace,
+    pub(super) pace: StreamTiming,
 }
 
 /// What follows a send.
@@ -67,19 +67,19 @@
     /// Another upstream may try.
     Again,
     /// The request has ended.
-    End(Ending),
+    End(RequestOutcome),
 }
 
 impl<'a> Exchange<'a> {
     /// A request that nothing has been done for yet.
     pub fn new(core: &'a Shared, query: &'a Query, body: &'a Bytes, request: &'a AdmittedRequest) -> Self {
         let message = Message {
-            query,
+            head: query,
             body,
             request,
             last_event: None,
-            source: None,
-            store: None,
+            kv_source: None,
+            kv_target: None,
         };
         Self {
             core,
@@ -91,12 +91,12 @@
             refused: None,
             content: OnceCell::new(),
             ending: None,
-            pace: Pace::default(),
+            pace: StreamTiming::default(),
         }
     }
 
     /// Runs the request to its end. Everything but the answer itself is left to the caller.
-    pub async fn run(&mut self, client: &mut Connection) -> Ending {
+    pub async fn run(&mut self, client: &mut Connection) -> RequestOutcome {
         let request = self.message.request;
         self.core.count_request(&request.service);
         let mut why = "no_upstream";
@@ -130,15 +130,15 @@
     }
 
     fn left(&self) -> Duration {
-        self.message.request.until.saturating_sub(self.core.now())
+        self.message.request.deadline.saturating_sub(self.core.now())
     }
 
     /// Ending of a request that goes no further.
-    fn give_up(&self, why: &'static str) -> Ending {
+    fn give_up(&self, why: &'static str) -> RequestOutcome {
         match (self.runs, self.left().is_zero()) {
-            (0, _) => Ending::NotRun(why),
-            (_, true) => Ending::Late,
-            (_, false) => Ending::Lost(why),
+            (0, _) => RequestOutcome::NotRun(why),
+            (_, true) => RequestOutcome::Late,
+            (_, false) => RequestOutcome::Lost(why),
         }
     }
 
@@ -163,42 +163,47 @@
         let last = !request.route.is_retryable() || self.runs + 1 >= request.route.max_attempts;
         let held = advice.map(|advice| advice.held);
         self.ending = held.as_ref().map(Held::ending);
-        let mut counted = Counted::new(core, instance, waiting, last, held);
+        let mut counted = LoadGuard::new(core, instance, waiting, last, held);
         self.tried.push(instance.clone());
         // It is a try of a suspect until the end of this send.
-        let _tried = isolated.then(|| quarantine::begin(core, self.content(), instance));
+        let _tried = isolated.then(|| quarantine::begin_trial(core, self.content(), instance));
         let outcome = tokio::select! {
             outcome = self.patiently(instance, permit, estimate.first) => outcome,
             () = client.closed() => {
                 // It is under way, and may run.
                 self.runs += 1;
-                return Ok(Next::End(Ending::CallerGone));
+                return Ok(Next::End(RequestOutcome::CallerGone));
             }
         };
         match outcome {
-            Outcome::Unsent(why) => {
+            AttemptOutcome::Unsent(why) => {
                 self.blame(instance, "unsent", &why);
                 Err("unreachable")
             }
-            Outcome::Withdrawn => Err("withdrawn"),
-            Outcome::NotRun(status) => {
+            AttemptOutcome::Withdrawn => Err("withdrawn"),
+            AttemptOutcome::NotRun(status) => {
                 self.sends += 1;
                 emit!(core.logger, info, event::ATTEMPT_FAILED, "request" => &request.id,
                     "upstream" => %instance, "outcome" => "not_run", "status" => status);
                 Err("turned_away")
             }
-            Outcome::Failed(why) => {
+            AttemptOutcome::Failed(why) => {
                 self.sends += 1;
                 self.runs += 1;
                 self.blame(instance, "may_have_run", &why);
                 self.note_end(instance, isolated).await;
                 Err("upstream_failed")
             }
-            Outcome::Answered(reply) => {
+            AttemptOutcome::Answered(reply) => {
                 self.sends += 1;
                 self.runs += 1;
                 let next = self.deliver(instance, *reply, client, &mut counted).await;
-                if !matches!(next, Ok(Next::End(Ending::Answered(_) | Ending::CallerGone))) {
+                if !matches!(
+                    next,
+                    Ok(Next::End(
+                        RequestOutcome::Answered(_) | RequestOutcome::CallerGone
+                    ))
+                ) {
                     self.note_end(instance, isolated && counted.ran() < CRASH_WINDOW)
                         .await;
                 }
@@ -209,7 +214,7 @@
 
     /// Sends; a request that may run again leaves a silent upstream as soon as another one can
     /// take it. Silence alone ends nothing: the answer may only be late.
-    async fn patiently(&mut self, instance: &Instance, permit: Permit, first: Duration) -> Outcome {
+    async fn patiently(&mut self, instance: &Instance, permit: Permit, first: Duration) -> AttemptOutcome {
         const SILENT: &str = "silent for longer than it should take";
         let request = self.message.request;
         let more = request.route.is_retryable() && self.runs + 1 < request.route.max_attempts;
@@ -224,11 +229,11 @@
                 () = sleep(patience.min(self.left())) => {}
             }
             if self.left().is_zero() {
-                return Outcome::Failed("the time is over".to_owned());
+                return AttemptOutcome::Failed("the time is over".to_owned());
             }
             if more && place::goes_on(self.core, request, self.message.body, &self.tried) {
                 self.paid = true;
-                return Outcome::Failed(SILENT.to_owned());
+                return AttemptOutcome::Failed(SILENT.to_owned());
             }
             if !blamed {
                 self.blame(instance, "waits", SILENT);
@@ -242,7 +247,7 @@
         instance: &Instance,
         reply: Reply,
         client: &mut Connection,
-        counted: &mut Counted<'_>,
+        counted: &mut LoadGuard<'_>,
     ) -> Result<Next, &'static str> {
         let core = self.core;
         let request = self.message.request;
@@ -279,18 +284,18 @@
             deliver::whole(core, request, reply, client).await
         };
         match delivered {
-            Delivered::Complete => {
+            DeliveryOutcome::Complete => {
                 if status < 500 {
                     self.praise(instance);
                     self.note_run(instance);
                 }
-                Ok(Next::End(Ending::Answered(status)))
+                Ok(Next::End(RequestOutcome::Answered(status)))
             }
-            Delivered::Nothing(why) => {
+            DeliveryOutcome::Nothing(why) => {
                 self.blame(instance, "may_have_run", why);
                 Err("broke_off")
             }
-            Delivered::Partly(why) => {
+            DeliveryOutcome::Partly(why) => {
                 self.blame(instance, "ran_partly", why);
                 let more = request.route.resumable && self.runs < request.route.max_attempts;
                 if more && self.message.last_event.is_some() {
@@ -298,10 +303,10 @@
                         "after" => self.message.last_event, "why" => why);
                     return Ok(Next::Again);
                 }
-                Ok(Next::End(Ending::Broken(why)))
+                Ok(Next::End(RequestOutcome::Broken(why)))
             }
-            Delivered::Late => Ok(Next::End(Ending::Broken("the time is over"))),
-            Delivered::CallerGone => Ok(Next::End(Ending::CallerGone)),
+            DeliveryOutcome::Late => Ok(Next::End(RequestOutcome::Broken("the time is over"))),
+            DeliveryOutcome::CallerGone => Ok(Next::End(RequestOutcome::CallerGone)),
         }
     }
 
@@ -311,22 +316,22 @@
     }
 
     /// How often the request may have run.
-    pub fn may_have_run(&self) -> u32 {
+    pub fn possible_runs(&self) -> u32 {
         self.runs
     }
 
     /// Time of the request so far.
-    pub fn took(&self) -> Moment {
-        self.core.now().saturating_sub(self.message.request.arrived)
+    pub fn elapsed(&self) -> Moment {
+        self.core.now().saturating_sub(self.message.request.arrived_at)
     }
 
     /// Pace of the stream.
-    pub fn pace(&self) -> Pace {
+    pub fn timing(&self) -> StreamTiming {
         self.pace
     }
 
     /// Time after which a refused request finds room.
-    pub fn room_after(&self) -> Option<Duration> {
+    pub fn retry_after(&self) -> Option<Duration> {
         self.refused.map(|refused| refused.after)
     }
 
--- a/crates/jb-relay/src/follow/missing.rs
+++ b/crates/jb-relay/src/follow/missing.rs
@@ -46,7 +46,7 @@
             let until = span.until + REWRITE_TIME;
             (core.now() < until && was_away(core, span)).then_some(until)
         });
-        let after_restore = core.recent_restore().map(|restore| restore.ends());
+        let after_restore = core.recent_restore().map(|restore| restore.settles_at());
         after_outage.max(after_restore)
     }
 }
--- a/crates/jb-relay/src/front.rs
+++ b/crates/jb-relay/src/front.rs
@@ -11,7 +11,7 @@
 use crate::admission::{self, AdmittedRequest, Refusal};
 use crate::configuration::CallerLimits;
 use crate::core::Shared;
-use crate::exchange::{Ending, Exchange};
+use crate::exchange::{Exchange, RequestOutcome};
 use crate::http::{Body, Connection, Error, Framing, Query, write_answer};
 use crate::peers;
 use crate::stop;
@@ -49,7 +49,7 @@
         emit!(core.logger, warn, event::ACCEPT_FAILED, "why" => "all descriptors for callers are in use");
         return;
     }
-    let _open = core.stop.enter();
+    let _open = core.stop.track_connection();
     if let Err(why) = stream.set_nodelay(true) {
         emit!(core.logger, debug, event::ACCEPT_FAILED, "why" => %why);
     }
@@ -95,9 +95,9 @@
 
 /// Waits until an idle connection may be closed in a planned stop.
 async fn stopped(core: &Shared) {
-    core.stop.begun().await;
+    core.stop.wait_begun().await;
     let since = core.stop.since().unwrap_or_default();
-    let noticed = (since + stop::NOTICED).saturating_sub(core.now());
+    let noticed = (since + stop::UNREADY_NOTICE_TIME).saturating_sub(core.now());
     sleep(noticed.max(STOP_REST)).await;
 }
 
@@ -195,19 +195,19 @@
     let mut exchange = Exchange::new(core, query, body, &request);
     let ending = exchange.run(client).await;
     if let Some(charged) = charged {
-        charged.settle(exchange.may_have_run());
+        charged.settle(exchange.possible_runs());
     }
     let begun = exchange.has_begun();
-    let after = exchange.room_after().unwrap_or_default().max(COME_BACK);
+    let after = exchange.retry_after().unwrap_or_default().max(COME_BACK);
     report(core, &request, &exchange, ending);
     match ending {
-        Ending::Answered(_) => true,
-        Ending::CallerGone | Ending::Broken(_) => false,
-        Ending::NotRun(_) => final_answer(core, client, &request.id, 503, Some(after)).await,
+        RequestOutcome::Answered(_) => true,
+        RequestOutcome::CallerGone | RequestOutcome::Broken(_) => false,
+        RequestOutcome::NotRun(_) => final_answer(core, client, &request.id, 503, Some(after)).await,
         // The head is out already: only the missing end shows the caller that it is incomplete.
-        Ending::Lost(_) | Ending::Late if begun => false,
-        Ending::Lost(_) => final_answer(core, client, &request.id, 502, None).await,
-        Ending::Late => final_answer(core, client, &request.id, 504, None).await,
+        RequestOutcome::Lost(_) | RequestOutcome::Late if begun => false,
+        RequestOutcome::Lost(_) => final_answer(core, client, &request.id, 502, None).await,
+        RequestOutcome::Late => final_answer(core, client, &request.id, 504, None).await,
     }
 }
 
@@ -263,21 +263,21 @@
         && keep_alive
 }
 
-fn report(core: &Shared, request: &AdmittedRequest, exchange: &Exchange<'_>, ending: Ending) {
+fn report(core: &Shared, request: &AdmittedRequest, exchange: &Exchange<'_>, ending: RequestOutcome) {
     let (name, status, why) = match ending {
-        Ending::Answered(status) => ("answered", status, ""),
-        Ending::NotRun(why) => ("not_run", 503, why),
-        Ending::Lost(why) => ("may_have_run", 502, why),
-        Ending::Late => ("late", 504, "the time is over"),
-        Ending::Broken(why) => ("broken", 0, why),
-        Ending::CallerGone => ("caller_gone", 0, ""),
+        RequestOutcome::Answered(status) => ("answered", status, ""),
+        RequestOutcome::NotRun(why) => ("not_run", 503, why),
+        RequestOutcome::Lost(why) => ("may_have_run", 502, why),
+        RequestOutcome::Late => ("late", 504, "the time is over"),
+        RequestOutcome::Broken(why) => ("broken", 0, why),
+        RequestOutcome::CallerGone => ("caller_gone", 0, ""),
     };
     core.metrics.count_outcome(name, status);
     emit!(core.logger, info, event::REQUEST_ENDED, "request" => &request.id, "route" => &request.route.name,
         "service" => &request.service, "ending" => name, "status" => status, "why" => why,
-        "ms" => exchange.took().as_millis() as u64, "tried" => tried(exchange),
-        "first_ms" => exchange.pace().first.map(|first| first.as_millis() as u64),
-        "pause_ms" => exchange.pace().pause.as_millis() as u64, "version" => request.configuration.version);
+        "ms" => exchange.elapsed().as_millis() as u64, "tried" => tried(exchange),
+        "first_ms" => exchange.timing().first.map(|first| first.as_millis() as u64),
+        "pause_ms" => exchange.timing().pause.as_millis() as u64, "version" => request.configuration.version);
 }
 
 /// Ids of the upstreams that were tried, the first one first.
--- a/crates/jb-relay/src/leader/election.rs
+++ b/crates/jb-relay/src/leader/election.rs
@@ -81,7 +81,7 @@
             last: fence,
             named: true,
         }));
-        core.stop.set_duty(true);
+        core.stop.set_leading(true);
         self.vacant_since.set(None);
         emit!(core.logger, info, event::LEADER_ELECTED, "fence" => fence.fence(), "waits_ms" => wait.as_millis() as u64,
             "waits_for" => waits_for);
--- a/crates/jb-relay/src/leader/term.rs
+++ b/crates/jb-relay/src/leader/term.rs
@@ -87,7 +87,7 @@
             match self.term.get() {
                 Some(term) if stopping && self.loading.borrow().is_empty() => self.release(term).await,
                 Some(term) => self.hold(term).await,
-                None if stopping => self.core.stop.set_duty(false),
+                None if stopping => self.core.stop.set_leading(false),
                 None => self.try_elect().await,
             }
             if !stopping {
@@ -214,7 +214,7 @@
     fn lose(&self, why: &str) {
         self.term.set(None);
         self.counts.take();
-        self.core.stop.set_duty(false);
+        self.core.stop.set_leading(false);
         emit!(self.core.logger, warn, event::LEADER_LOST, "why" => why);
     }
 
--- a/crates/jb-relay/src/peers/quota.rs
+++ b/crates/jb-relay/src/peers/quota.rs
@@ -104,7 +104,7 @@
     core: &'a Shared,
     request: &AdmittedRequest,
 ) -> Result<Option<Charged<'a>>, Duration> {
-    let Some((name, tokens)) = request.customer.as_deref().zip(request.counts) else {
+    let Some((name, tokens)) = request.customer.as_deref().zip(request.quota_cost) else {
         return Ok(None);
     };
     let customer = short_name(name);
--- a/crates/jb-relay/src/peers/suspicion.rs
+++ b/crates/jb-relay/src/peers/suspicion.rs
@@ -19,7 +19,7 @@
 use super::quarantine_record;
 use super::socket::send;
 use crate::core::{Core, Shared};
-use crate::quarantine::{self, News, Trial};
+use crate::quarantine::{self, EvidenceUpdate, Trial};
 
 /// Interval at which suspected requests are sent again.
 const PERIOD: Duration = Duration::from_secs(1);
@@ -34,10 +34,10 @@
 /// Publishes evidence for as long as the box runs.
 pub async fn publish(core: Shared, socket: Rc<UdpSocket>) {
     let mut due = core.now() + PERIOD;
-    let mut restored = core.last_restore.get().map(|restore| restore.noticed);
+    let mut restored = core.last_restore.get().map(|restore| restore.noticed_at);
     loop {
         let left = due.saturating_sub(core.now());
-        if let Ok(news) = timeout(left, core.quarantine.news()).await {
+        if let Ok(news) = timeout(left, core.quarantine.next_updates()).await {
             let suspects = news.iter().filter_map(|news| to_suspect(&core, news));
             for message in messages(suspects) {
                 broadcast(&core, &socket, &message).await;
@@ -45,19 +45,19 @@
             let quarantined = news
                 .iter()
                 .filter(|news| news.trial.is_none() && quarantine_record::is_due(&core, news.content));
-            for News { content, .. } in quarantined {
+            for EvidenceUpdate { content, .. } in quarantined {
                 spawn_local(quarantine_record::write(Rc::clone(&core), *content));
             }
             continue;
         }
         due = core.now() + PERIOD;
-        let noticed = core.last_restore.get().map(|restore| restore.noticed);
+        let noticed = core.last_restore.get().map(|restore| restore.noticed_at);
         if noticed != restored {
             restored = noticed;
             quarantine_record::write_lost(&core);
         }
         if !core.quarantine.is_empty() {
-            core.quarantine.forget(core.now());
+            core.quarantine.expire(core.now());
             broadcast_dangerous(&core, &socket).await;
         }
     }
@@ -85,7 +85,7 @@
     next.map(|(_, peer)| peer.address).collect()
 }
 
-fn to_suspect(core: &Core, news: &News) -> Option<Suspect> {
+fn to_suspect(core: &Core, news: &EvidenceUpdate) -> Option<Suspect> {
     let row = core.quarantine.ledger().row(news.content)?;
     Some(suspect(core, &row, news.trial))
 }
@@ -130,5 +130,5 @@
         evidence: Evidence::received(&suspect.ended, &suspect.isolated, &suspect.well),
         at: core.now().saturating_sub(age),
     };
-    quarantine::apply(core, &row);
+    quarantine::apply_evidence(core, &row);
 }
--- a/crates/jb-relay/src/quarantine.rs
+++ b/crates/jb-relay/src/quarantine.rs
@@ -15,7 +15,7 @@
 
 /// Evidence to publish on one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct News {
+pub struct EvidenceUpdate {
     /// The request.
     pub content: Content,
     /// A trial that this box has begun or ended, if there is one.
@@ -35,7 +35,7 @@
 #[derive(Debug, Default)]
 pub struct Quarantine {
     ledger: RefCell<Ledger>,
-    news: RefCell<Vec<News>>,
+    updates: RefCell<Vec<EvidenceUpdate>>,
     wake: Notify,
 }
 
@@ -51,18 +51,18 @@
     }
 
     /// Waits for evidence to publish.
-    pub async fn news(&self) -> Vec<News> {
+    pub async fn next_updates(&self) -> Vec<EvidenceUpdate> {
         self.wake.notified().await;
-        std::mem::take(&mut *self.news.borrow_mut())
+        std::mem::take(&mut *self.updates.borrow_mut())
     }
 
     /// Forgets what is old.
-    pub fn forget(&self, now: Moment) {
+    pub fn expire(&self, now: Moment) {
         self.ledger.borrow_mut().forget(now);
     }
 
-    fn enqueue(&self, news: News) {
-        let mut queued = self.news.borrow_mut();
+    fn enqueue(&self, news: EvidenceUpdate) {
+        let mut queued = self.updates.borrow_mut();
         if !queued.contains(&news) {
             queued.push(news);
         }
@@ -81,19 +81,19 @@
 }
 
 /// Name under which boxes speak of a life.
-pub fn engine(instance: &Instance) -> Engine {
+pub fn engine_name(instance: &Instance) -> Engine {
     place::short(instance.name())
 }
 
 /// Notes that an engine has ended while it ran a request; `apart`: as the only suspect there.
-pub fn note_end(core: &Core, content: Content, instance: &Instance, isolated: bool) {
-    note(core, content, Evidence::of_end(engine(instance), isolated));
+pub fn note_crash(core: &Core, content: Content, instance: &Instance, isolated: bool) {
+    note(core, content, Evidence::of_end(engine_name(instance), isolated));
 }
 
 /// Notes that an engine has run a request to a good end, where that is evidence.
-pub fn note_run(core: &Core, content: Content, instance: &Instance) {
+pub fn note_success(core: &Core, content: Content, instance: &Instance) {
     if core.quarantine.ledger().knows(content) {
-        note(core, content, Evidence::of_run(engine(instance)));
+        note(core, content, Evidence::of_run(engine_name(instance)));
     }
 }
 
@@ -103,13 +103,13 @@
         evidence,
         at: core.now(),
     };
-    if apply(core, &row) {
-        core.quarantine.enqueue(News { content, trial: None });
+    if apply_evidence(core, &row) {
+        core.quarantine.enqueue(EvidenceUpdate { content, trial: None });
     }
 }
 
 /// Applies evidence of this box or of another one; returns whether it is new.
-pub fn apply(core: &Core, row: &Row) -> bool {
+pub fn apply_evidence(core: &Core, row: &Row) -> bool {
     let change = core.quarantine.ledger.borrow_mut().take(row, core.now());
     if let Some(change) = change {
         log(core, row.content, change);
@@ -140,31 +140,31 @@
 }
 
 /// A try of a suspect, which is over when dropped.
-pub struct Tried {
+pub struct TrialGuard {
     core: Shared,
     content: Content,
     engine: Engine,
 }
 
 /// Begins a try of a suspect at an engine.
-pub fn begin(core: &Shared, content: Content, instance: &Instance) -> Tried {
-    let engine = engine(instance);
+pub fn begin_trial(core: &Shared, content: Content, instance: &Instance) -> TrialGuard {
+    let engine = engine_name(instance);
     let now = core.now();
     core.quarantine.ledger.borrow_mut().begin(content, engine, now);
     let trial = Some(Trial { engine, over: false });
-    core.quarantine.enqueue(News { content, trial });
-    Tried {
+    core.quarantine.enqueue(EvidenceUpdate { content, trial });
+    TrialGuard {
         core: Rc::clone(core),
         content,
         engine,
     }
 }
 
-impl Drop for Tried {
+impl Drop for TrialGuard {
     fn drop(&mut self) {
         let (content, engine) = (self.content, self.engine);
         self.core.quarantine.ledger.borrow_mut().end(content, engine);
         let trial = Some(Trial { engine, over: true });
-        self.core.quarantine.enqueue(News { content, trial });
+        self.core.quarantine.enqueue(EvidenceUpdate { content, trial });
     }
 }
--- a/crates/jb-relay/src/restore.rs
+++ b/crates/jb-relay/src/restore.rs
@@ -18,14 +18,14 @@
     /// Era that it began.
     pub era: Era,
     /// When this box noticed it.
-    pub noticed: Moment,
+    pub noticed_at: Moment,
     /// When what the box knew before was last proven.
-    pub proven: Option<Moment>,
+    pub verified_at: Option<Moment>,
 }
 
 impl Restore {
     /// When everything has been written again.
-    pub fn ends(&self) -> Moment {
-        self.noticed + REWRITE_TIME
+    pub fn settles_at(&self) -> Moment {
+        self.noticed_at + REWRITE_TIME
     }
 }
--- a/crates/jb-relay/src/signal.rs
+++ b/crates/jb-relay/src/signal.rs
@@ -24,35 +24,35 @@
 
 /// Head of a response, as far as it concerns the upstream.
 #[derive(Clone, Debug)]
-pub struct Head {
+pub struct ParsedHead {
     /// Signals that hold beyond this response.
     pub signals: Signals,
     /// Whether the upstream hasn't run the request.
-    pub not_run: bool,
+    pub not_executed: bool,
     /// Instance that answers, where the head names one.
-    answering: Option<String>,
+    answering_instance: Option<String>,
     /// Version of the weights behind the response.
-    weights: Option<u64>,
+    answer_weights: Option<u64>,
     /// Idle time after which the upstream closes the connection.
-    pub closes_after: Option<Duration>,
+    pub keep_alive_timeout: Option<Duration>,
 }
 
 /// Parses the head of a response.
-pub fn read(names: &HeaderNames, answer: &Answer) -> Head {
+pub fn parse(names: &HeaderNames, answer: &Answer) -> ParsedHead {
     let headers = &answer.headers;
-    Head {
+    ParsedHead {
         signals: Signals {
             draining: signal::is_draining(headers.all(names.draining)),
             retry_after: signal::retry_after(answer.status, headers.all(names.retry_after)),
             limit: Announcement::parse(headers.all(names.rate_limit)),
         },
-        not_run: headers.get(names.not_run).is_some() || answer.status == MISDIRECTED,
-        answering: headers
+        not_executed: headers.get(names.not_run).is_some() || answer.status == MISDIRECTED,
+        answering_instance: headers
             .text(names.answering_instance)
             .filter(|_| answer.status == MISDIRECTED)
             .map(str::to_owned),
-        weights: headers.number(names.answer_weights),
-        closes_after: closes_after(answer),
+        answer_weights: headers.number(names.answer_weights),
+        keep_alive_timeout: closes_after(answer),
     }
 }
 
@@ -64,16 +64,18 @@
     named.trim().parse().ok().map(Duration::from_secs)
 }
 
-impl Head {
+impl ParsedHead {
     /// Whether another instance answers at the address; the same one may only have other weights.
     fn is_of_other(&self, instance: &Instance) -> bool {
-        self.answering.as_ref().is_some_and(|other| *other != instance.id)
+        self.answering_instance
+            .as_ref()
+            .is_some_and(|other| *other != instance.id)
     }
 }
 
 /// Applies the head of a response to a request that was written at `sent`, before anything else is sent
 /// to the instance and before the caller gets the response.
-pub fn apply(core: &Core, instance: &Instance, model: Option<&str>, head: &Head, sent: Moment) {
+pub fn apply(core: &Core, instance: &Instance, model: Option<&str>, head: &ParsedHead, sent: Moment) {
     if head.is_of_other(instance) {
         note_replaced(core, instance);
         return;
@@ -81,17 +83,17 @@
     apply_signals(core, instance, head.signals, Some(sent));
     let now = core.now();
     if let Some(upstream) = core.upstreams.borrow_mut().instance_mut(instance) {
-        if head.not_run {
+        if head.not_executed {
             upstream.backoff.pause(REJECTION_PAUSE, now);
         }
-        if let Some((model, version)) = model.zip(head.weights) {
+        if let Some((model, version)) = model.zip(head.answer_weights) {
             upstream.observe_weights(model, version);
         }
     }
 }
 
 /// Applies the head of a late response to an earlier request: its weights and free places are outdated.
-pub fn apply_late(core: &Core, instance: &Instance, head: &Head) {
+pub fn apply_late(core: &Core, instance: &Instance, head: &ParsedHead) {
     if !head.is_of_other(instance) {
         apply_signals(core, instance, head.signals, None);
     }
--- a/crates/jb-relay/src/start.rs
+++ b/crates/jb-relay/src/start.rs
@@ -40,14 +40,14 @@
 
 /// What a box listens on.
 #[derive(Debug)]
-pub struct Bound {
+pub struct Listeners {
     callers: TcpListener,
     checks: TcpListener,
     socket: Rc<UdpSocket>,
     transfers: TcpListener,
 }
 
-impl Bound {
+impl Listeners {
     /// Binds the addresses of the settings.
     ///
     /// # Errors
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     /// What the operating system reports.
-    pub fn callers(&self) -> std::io::Result<SocketAddr> {
+    pub fn caller_address(&self) -> std::io::Result<SocketAddr> {
         self.callers.local_addr()
     }
 
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     /// What the operating system reports.
-    pub fn checks(&self) -> std::io::Result<SocketAddr> {
+    pub fn readiness_address(&self) -> std::io::Result<SocketAddr> {
         self.checks.local_addr()
     }
 }
@@ -84,7 +84,7 @@
 async fn serve(core: Shared) -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut reload = signal(SignalKind::hangup())?;
-    let bound = Bound::new(&core.settings).await?;
+    let bound = Listeners::new(&core.settings).await?;
     start(&core, bound)?;
     loop {
         tokio::select! {
@@ -93,7 +93,7 @@
             _ = reload.recv() => emit!(core.logger, info, event::SETTINGS_CHANGED),
         }
     }
-    leave(&core).await;
+    shut_down(&core).await;
     Ok(())
 }
 
@@ -101,8 +101,8 @@
 ///
 /// # Errors
 /// What the operating system reports of the addresses.
-pub fn start(core: &Shared, bound: Bound) -> std::io::Result<()> {
-    let Bound {
+pub fn start(core: &Shared, bound: Listeners) -> std::io::Result<()> {
+    let Listeners {
         callers,
         checks,
         socket,
@@ -156,7 +156,7 @@
 }
 
 /// Answers everything that is open, then returns.
-pub async fn leave(core: &Shared) {
+pub async fn shut_down(core: &Shared) {
     let since = core.now();
     core.stop.begin(since);
     emit!(core.logger, info, event::BOX_STOPPING, "open" => core.stop.connections());
@@ -164,7 +164,7 @@
     loop {
         sleep(LOOK).await;
         let now = core.now();
-        let idle = core.stop.is_done() && now > since + stop::NOTICED;
+        let idle = core.stop.is_done() && now > since + stop::UNREADY_NOTICE_TIME;
         if idle || now > end {
             break;
         }
--- a/crates/jb-relay/src/stop.rs
+++ b/crates/jb-relay/src/stop.rs
@@ -7,14 +7,14 @@
 use tokio::sync::Notify;
 
 /// Time in which the balancer notices that the box is not ready, with a second to spare.
-pub const NOTICED: Duration = Duration::from_millis(3200);
+pub const UNREADY_NOTICE_TIME: Duration = Duration::from_millis(3200);
 
 /// Progress of a planned stop.
 #[derive(Debug, Default)]
 pub struct Stop {
     since: Cell<Option<Moment>>,
     connections: Cell<usize>,
-    duty: Cell<bool>,
+    leading: Cell<bool>,
     changed: Notify,
 }
 
@@ -36,20 +36,20 @@
     }
 
     /// Waits until the stop has begun.
-    pub async fn begun(&self) {
+    pub async fn wait_begun(&self) {
         while !self.is_stopping() {
             self.changed.notified().await;
         }
     }
 
     /// Notes whether the box has a duty of the fleet to finish or hand over.
-    pub fn set_duty(&self, held: bool) {
-        self.duty.set(held);
+    pub fn set_leading(&self, held: bool) {
+        self.leading.set(held);
     }
 
     /// Whether nothing keeps the box from ending.
     pub fn is_done(&self) -> bool {
-        self.connections.get() == 0 && !self.duty.get()
+        self.connections.get() == 0 && !self.leading.get()
     }
 
     /// Connections of callers that are open.
@@ -58,19 +58,19 @@
     }
 
     /// Counts a connection of a caller until the guard is dropped.
-    pub fn enter(&self) -> Guard<'_> {
+    pub fn track_connection(&self) -> ConnectionGuard<'_> {
         self.connections.set(self.connections.get() + 1);
-        Guard { stop: self }
+        ConnectionGuard { stop: self }
     }
 }
 
 /// Counts one connection.
 #[derive(Debug)]
-pub struct Guard<'a> {
+pub struct ConnectionGuard<'a> {
     stop: &'a Stop,
 }
 
-impl Drop for Guard<'_> {
+impl Drop for ConnectionGuard<'_> {
     fn drop(&mut self) {
         self.stop.connections.set(self.stop.connections.get() - 1);
     }
--- a/crates/jb-relay/tests/http.rs
+++ b/crates/jb-relay/tests/http.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::expect_used)]
 
 use bytes::{Bytes, BytesMut};
-use jb_relay::events::Splitter;
+use jb_relay::events::EventSplitter;
 use jb_relay::http::{Answer, Body, Framing, Query, Step};
 use quickcheck::{Gen, QuickCheck};
 
@@ -60,7 +60,7 @@
             .map(|id| format!("id: {id}\ndata: {}\n\n", "x".repeat(id.into())))
             .collect();
         let bytes = text.concat().into_bytes();
-        let (mut splitter, mut got, mut at) = (Splitter::default(), Vec::new(), 0);
+        let (mut splitter, mut got, mut at) = (EventSplitter::default(), Vec::new(), 0);
         let mut sizes = sizes.iter().cycle();
         while at < bytes.len() {
             let size = (1 + sizes.next().unwrap_or(&0) % 9).min(bytes.len() - at);
