--- a/crates/jb-relay/src/exchange/ask.rs
+++ b/crates/jb-relay/src/exchange/account_query.rs
@@ -1,4 +1,7 @@
-//! The upstream of a prompt by the accounts of the engines that come first for its family.
+//! Selection of an engine by its account.
+//!
+//! In a large fleet the load of each engine is tracked by one box, in the engine's account. For a prompt, the
+//! accounts of the engines that rank first for its prefix group are queried.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,44 +12,45 @@
 use jb_policy::choose::{self, Candidate, Tuning};
 use jb_policy::gate::{Estimate, Verdict};
 
-use super::place::{self, CandidateSet, Choice};
+use super::selection::{self, CandidateSet, Choice};
 use crate::admission::AdmittedRequest;
 use crate::core::Shared;
 use crate::peers::{self, Held, Prompt, Room, View};
 use crate::saturating_cast::saturating_cast;
 use crate::upstream::{Instance, Wanted};
 
-/// Accounts that are asked for one prompt at the most: the prefix group's own engine first, the others
-/// together where it has no room.
-const MAX_ASKED: usize = 4;
-/// Fewest missing tokens for which other engines are asked; prompts that share fewer go by load alone.
-const MIN_SHARED: u64 = 512;
-/// Engines with an open connection that are compared for a prompt that shares little.
+/// Upper bound on the accounts queried for one prompt: first that of the prefix group's home engine, then the
+/// others in parallel if it has no room.
+const MAX_QUERIED_ACCOUNTS: usize = 4;
+/// Fewest uncached shared tokens for which other engines are queried. Prompts that share fewer tokens are placed
+/// by load alone.
+const MIN_SHARED_TOKENS: u64 = 512;
+/// Engines with an open connection that are compared for a prompt with few shared tokens.
 const MAX_CONNECTED: usize = 3;
 
-/// State of the chosen engine by its account.
+/// State of the selected engine according to its account.
 pub(super) struct Advice {
-    /// What is under way at the engine.
+    /// Load of the engine.
     pub load: Load,
-    /// The place at the engine.
+    /// Reservation at the engine.
     pub held: Held,
-    /// Tokens of the prompt that the engine keeps.
+    /// Tokens of the prompt that the engine has cached.
     pub found: u64,
-    /// Another engine that keeps more.
+    /// Another engine that has more of the prompt cached, and how many tokens.
     pub other: Option<(SocketAddr, u64)>,
-    /// Whether the engine is to send the parts to a store.
+    /// Whether the engine should write the segments to a cache store.
     pub send_to_store: bool,
-    /// Whether a store has the parts.
+    /// Whether a cache store has the segments.
     pub stored: bool,
 }
 
-struct Asked {
+struct QueriedEngine {
     instance: Instance,
     view: View,
     candidate: Candidate,
 }
 
-/// Chooses the upstream of a prompt by the accounts of engines, where one answers.
+/// Selects the engine for a prompt by the accounts of engines; `None` if there is no candidate.
 pub(super) async fn choose(
     core: &Shared,
     request: &AdmittedRequest,
@@ -55,39 +59,40 @@
     among: CandidateSet,
 ) -> Option<Choice> {
     let (last, shared) = request.prompt.split_last()?;
-    let ask = Ask {
+    let query = AccountQuery {
         core,
-        wanted: place::wanted(core, request, body, tried, among),
+        wanted: selection::wanted(core, request, body, tried, among),
         prompt: Prompt {
             shared,
             own: last.tokens + request.max_output_tokens,
             until: request.deadline,
         },
-        tuning: place::tuning(core, request),
+        tuning: selection::tuning(core, request),
         place: peers::draw(core),
     };
-    let family = ask.wanted.demand.family()?;
+    let family = query.wanted.demand.family()?;
     let ranked = core
         .upstreams
         .borrow()
-        .ranked(family, &ask.wanted, MAX_ASKED, core.now());
+        .ranked(family, &query.wanted, MAX_QUERIED_ACCOUNTS, core.now());
     let (own, others) = ranked.split_first()?;
-    let looked = if ask.shares_little() {
-        ask.look_near(own).await
+    let looked = if query.is_barely_shared() {
+        query.query_connected(own).await
     } else {
-        ask.at_home(own, others, family, request.route.target_latency)
+        query
+            .query_home(own, others, family, request.route.target_latency)
             .await
     };
-    let mut asked = match looked {
-        Looked::Chosen(choice) => return Some(*choice),
-        Looked::At(asked) => asked,
+    let mut queried = match looked {
+        QueryRound::Chosen(choice) => return Some(*choice),
+        QueryRound::Candidates(queried) => queried,
     };
-    asked.retain(|asked| asked.view.open);
-    ask.compare(request, asked, tried.is_empty()).await
+    queried.retain(|queried| queried.view.open);
+    query.compare(request, queried, tried.is_empty()).await
 }
 
-/// One search for an engine by accounts.
-struct Ask<'a> {
+/// Selection of an engine for one prompt.
+struct AccountQuery<'a> {
     core: &'a Shared,
     wanted: Wanted<'a>,
     prompt: Prompt<'a>,
@@ -95,24 +100,24 @@
     place: Place,
 }
 
-/// What a first round of questions has brought.
-enum Looked {
-    /// An engine with a place for the prompt.
+/// Result of the first round of queries.
+enum QueryRound {
+    /// An engine with a reservation for the prompt.
     Chosen(Box<Choice>),
     /// Engines to compare.
-    At(Vec<Asked>),
+    Candidates(Vec<QueriedEngine>),
 }
 
-impl Ask<'_> {
-    /// Whether the prompt goes by load alone.
-    fn shares_little(&self) -> bool {
-        self.wanted.demand.shared() < MIN_SHARED
+impl AccountQuery<'_> {
+    /// Returns whether the prompt shares so few tokens that it is placed by load alone.
+    fn is_barely_shared(&self) -> bool {
+        self.wanted.demand.shared() < MIN_SHARED_TOKENS
     }
 
-    /// Looks at engines for a prompt that shares little: those to which a connection is open, and
-    /// the family's own. What another engine would have to read again is less than what a
-    /// connection costs, and by load they share the work evenly, fast engines and slow ones.
-    async fn look_near(&self, own: &Instance) -> Looked {
+    /// Queries the candidates for a prompt that shares few tokens: engines with an open connection, and the prefix
+    /// group's home engine. Prefilling the shared tokens again costs less than a new connection, and placement
+    /// by load spreads the work evenly over fast and slow engines.
+    async fn query_connected(&self, own: &Instance) -> QueryRound {
         let now = self.core.now();
         let mut near = self
             .core
@@ -122,54 +127,66 @@
         if !near.contains(own) {
             near.push(own.clone());
         }
-        let asked = self.look(&near).await;
-        if asked.is_empty() {
+        let queried = self.query_accounts(&near).await;
+        if queried.is_empty() {
             let held = peers::hold(self.core, own, self.place);
-            return Looked::Chosen(Box::new(unadvised(held, own)));
+            return QueryRound::Chosen(Box::new(unadvised(held, own)));
         }
-        Looked::At(asked)
+        QueryRound::Candidates(queried)
     }
 
-    /// Asks the family's own engine for a place, and looks at others where it has none.
-    async fn at_home(&self, own: &Instance, others: &[Instance], family: u64, target: Duration) -> Looked {
-        let ahead = account::ahead(self.tuning.tokens_per_ms, target);
-        let room = Room::Ahead(saturating_cast(ahead));
+    /// Requests a reservation at the prefix group's home engine, and queries other engines if it has no room.
+    async fn query_home(
+        &self,
+        own: &Instance,
+        others: &[Instance],
+        family: u64,
+        target: Duration,
+    ) -> QueryRound {
+        let queued_tokens = account::ahead(self.tuning.tokens_per_ms, target);
+        let room = Room::Ahead(saturating_cast(queued_tokens));
         let held = peers::hold(self.core, own, self.place);
         let Some(view) = peers::ask_account(self.core, own, self.place, &self.prompt, room).await else {
-            return Looked::Chosen(Box::new(unadvised(held, own)));
+            return QueryRound::Chosen(Box::new(unadvised(held, own)));
         };
-        let first = self.asked(own, view);
+        let first = self.queried(own, view);
         if let Some(own) = first.as_ref().filter(|_| view.taken) {
             let missing = self.wanted.demand.shared().saturating_sub(view.found);
-            let rest = if missing >= MIN_SHARED {
-                self.look(&self.holders(family, &own.instance)).await
+            let rest = if missing >= MIN_SHARED_TOKENS {
+                self.query_accounts(&self.previous_homes(family, &own.instance))
+                    .await
             } else {
                 Vec::new()
             };
-            return Looked::Chosen(Box::new(self.chosen(own, held, &rest)));
+            return QueryRound::Chosen(Box::new(self.build_choice(own, held, &rest)));
         }
         drop(held);
-        let others = self.look(others).await;
-        Looked::At(first.into_iter().chain(others).collect())
+        let others = self.query_accounts(others).await;
+        QueryRound::Candidates(first.into_iter().chain(others).collect())
     }
 
-    /// The best of the engines looked at, and whether the prompt goes there now.
-    async fn compare(&self, request: &AdmittedRequest, mut asked: Vec<Asked>, first: bool) -> Option<Choice> {
-        let most = asked.iter().map(|asked| asked.view.found).max()?;
-        for asked in &mut asked {
-            asked.candidate.elsewhere = asked.candidate.elsewhere.max(most);
+    /// Selects the best of the queried engines, and reserves a slot there if the prompt is sent now.
+    async fn compare(
+        &self,
+        request: &AdmittedRequest,
+        mut queried: Vec<QueriedEngine>,
+        first: bool,
+    ) -> Option<Choice> {
+        let most = queried.iter().map(|queried| queried.view.found).max()?;
+        for queried in &mut queried {
+            queried.candidate.elsewhere = queried.candidate.elsewhere.max(most);
         }
-        let candidates: Vec<Candidate> = asked.iter().map(|asked| asked.candidate).collect();
-        let tuning = if self.shares_little() {
+        let candidates: Vec<Candidate> = queried.iter().map(|queried| queried.candidate).collect();
+        let tuning = if self.is_barely_shared() {
             self.tuning.of_little_shared()
         } else {
             self.tuning
         };
         let at = choose::best(&candidates, &self.wanted.demand, &tuning)?;
-        let mut best = asked.swap_remove(at);
+        let mut best = queried.swap_remove(at);
         let estimate = self.estimate(&best);
         let verdict = if first {
-            place::judge(self.core, request, &estimate)
+            selection::admission_verdict(self.core, request, &estimate)
         } else {
             Verdict::Send
         };
@@ -189,18 +206,18 @@
         {
             best.view = view;
         }
-        Some(self.chosen(&best, held, &asked))
+        Some(self.build_choice(&best, held, &queried))
     }
 
-    fn estimate(&self, asked: &Asked) -> Estimate {
+    fn estimate(&self, queried: &QueriedEngine) -> Estimate {
         Estimate {
-            first: choose::first_token(&asked.candidate, &self.wanted.demand, &self.tuning),
-            queued: asked.view.load.waiting > 0,
+            first: choose::first_token(&queried.candidate, &self.wanted.demand, &self.tuning),
+            queued: queried.view.load.waiting > 0,
         }
     }
 
-    /// The choice of an engine, with the best place among the rest to bring parts from.
-    fn chosen(&self, best: &Asked, held: Held, rest: &[Asked]) -> Choice {
+    /// Builds the choice of an engine, with the best other engine to transfer cached segments from.
+    fn build_choice(&self, best: &QueriedEngine, held: Held, rest: &[QueriedEngine]) -> Choice {
         let upstreams = self.core.upstreams.borrow();
         let weights = |instance: &Instance| {
             let model = self.wanted.model?;
@@ -230,24 +247,24 @@
         }
     }
 
-    /// Engines that may keep a family though it is not theirs now, because they were its own before.
-    fn holders(&self, family: u64, own: &Instance) -> Vec<Instance> {
+    /// Returns the engines that may have a prefix group cached because they were its home before.
+    fn previous_homes(&self, family: u64, own: &Instance) -> Vec<Instance> {
         let upstreams = self.core.upstreams.borrow();
-        let first = upstreams.holders_first(family, &self.wanted, MAX_ASKED, self.core.now());
+        let first = upstreams.holders_first(family, &self.wanted, MAX_QUERIED_ACCOUNTS, self.core.now());
         first.into_iter().filter(|instance| instance != own).collect()
     }
 
-    /// Looks at the accounts of engines, without taking a place.
-    async fn look(&self, ids: &[Instance]) -> Vec<Asked> {
+    /// Queries the accounts of engines without a reservation.
+    async fn query_accounts(&self, ids: &[Instance]) -> Vec<QueriedEngine> {
         let looks = ids.iter().map(|instance| async {
             let place = peers::draw(self.core);
             let view = peers::ask_account(self.core, instance, place, &self.prompt, Room::None).await?;
-            self.asked(instance, view)
+            self.queried(instance, view)
         });
         join_all(looks).await.into_iter().flatten().collect()
     }
 
-    fn asked(&self, instance: &Instance, view: View) -> Option<Asked> {
+    fn queried(&self, instance: &Instance, view: View) -> Option<QueriedEngine> {
         let upstreams = self.core.upstreams.borrow();
         let upstream = upstreams.instance(instance)?;
         let has = self.wanted.model.and_then(|model| upstream.weights(model));
@@ -260,7 +277,7 @@
             elsewhere: if view.stored { shared } else { 0 },
             ..upstream.candidate(&self.wanted, behind)
         };
-        Some(Asked {
+        Some(QueriedEngine {
             instance: instance.clone(),
             view,
             candidate,
@@ -268,7 +285,7 @@
     }
 }
 
-/// A choice without the answer of an account.
+/// Builds the choice of an engine whose account did not answer.
 fn unadvised(held: Held, own: &Instance) -> Choice {
     Choice {
         instance: own.clone(),
--- a/crates/jb-relay/src/exchange/judge.rs
+++ b/crates/jb-relay/src/exchange/feedback.rs
@@ -1,4 +1,4 @@
-//! What a request's sends say of the engines.
+//! Health feedback: what the attempts of a request show about the upstreams.
 
 use jb_policy::health::Change;
 use jb_protocol::{emit, event};
@@ -8,15 +8,15 @@
 use crate::upstream::{Instance, Upstream};
 
 impl Exchange<'_> {
-    /// Notes how the request ends at its engine, for the engine's account.
-    fn note_ending(&self, ending: peers::Ending) {
+    /// Sets the result that is reported to the engine's account.
+    fn set_account_ending(&self, ending: peers::Ending) {
         if let Some(noted) = &self.ending {
             noted.set(ending);
         }
     }
 
-    /// Notes that a send failed through the engine's fault.
-    pub(super) fn blame(&self, instance: &Instance, outcome: &'static str, why: &str) {
+    /// Logs a failed attempt and counts it against the upstream's health.
+    pub(super) fn record_failure(&self, instance: &Instance, outcome: &'static str, why: &str) {
         let core = self.core;
         let running = core
             .upstreams
@@ -28,19 +28,19 @@
             "content" => %self.content(), "running" => running);
         let loads = |upstream: &Upstream| core.now() < upstream.loading_until;
         if core.upstreams.borrow().instance(instance).is_some_and(loads) {
-            // Streams that are reset for new weights are no fault of the engine.
+            // An engine resets its streams when it loads new weights, which says nothing about its health.
             return;
         }
-        self.note_ending(peers::Ending::Failed);
+        self.set_account_ending(peers::Ending::Failed);
         if core.upstreams.borrow_mut().judged(instance, false, core.now()) == Change::Ejected {
             emit!(core.logger, warn, event::UPSTREAM_EJECTED, "upstream" => %instance, "why" => why);
         }
     }
 
-    /// Notes that the engine has answered well.
-    pub(super) fn praise(&self, instance: &Instance) {
+    /// Counts a successful attempt for the upstream's health.
+    pub(super) fn record_success(&self, instance: &Instance) {
         let core = self.core;
-        self.note_ending(peers::Ending::Well);
+        self.set_account_ending(peers::Ending::Well);
         if core.upstreams.borrow_mut().judged(instance, true, core.now()) == Change::Returned {
             emit!(core.logger, info, event::UPSTREAM_RETURNED, "upstream" => %instance);
         }
--- a/crates/jb-relay/src/exchange/isolation.rs
+++ b/crates/jb-relay/src/exchange/isolation.rs
@@ -7,50 +7,50 @@
 use jb_policy::poison;
 
 use super::pick::Rejection;
-use super::place::{self, CandidateSet, Choice};
 use super::run::Exchange;
+use super::selection::{self, CandidateSet, Choice};
 use crate::pool;
 use crate::quarantine;
 use crate::upstream::Instance;
 
-/// `Retry-After` of a suspect while another trial of it is under way, or no engine can be spared.
+/// `Retry-After` of a suspect request while another trial of it is running, or no engine can be spared.
 const SUSPECT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Time after the first event of a request within which a crash of the engine counts as caused by it.
 pub(super) const CRASH_WINDOW: Duration = Duration::from_secs(1);
-/// Time for which a suspect waits for an engine without other suspects.
-pub(super) const SUSPECT_PATIENCE: Duration = Duration::from_secs(1);
+/// Time for which a suspect request waits for an engine without other suspects.
+pub(super) const MAX_SUSPECT_WAIT: Duration = Duration::from_secs(1);
 
-/// Whether a request may go to an engine now.
+/// Which engines a request may be sent to now.
 pub(super) enum Clearance {
-    /// To any.
-    Freely,
-    /// To this one, in an isolated trial.
+    /// Any engine.
+    AnyEngine,
+    /// Only this engine, as an isolated trial.
     Isolated(Box<Choice>),
-    /// Once there is one for it.
-    Later,
-    /// To none.
-    Never(Rejection),
+    /// None yet; an engine for a trial may become free.
+    Wait,
+    /// None; the request is rejected.
+    Rejected(Rejection),
 }
 
 impl Exchange<'_> {
-    /// Whether it may go to an engine; a suspect waits for one until a moment.
-    pub(super) fn pass(&self, until: Moment) -> Clearance {
+    /// Returns which engines the request may be sent to. A suspect request waits for a trial until `until`.
+    pub(super) fn clearance(&self, until: Moment) -> Clearance {
         match self.verdict() {
-            poison::Verdict::Unsuspected => Clearance::Freely,
+            poison::Verdict::Unsuspected => Clearance::AnyEngine,
             poison::Verdict::Suspected => match self.choose_isolated() {
                 Some(choice) => Clearance::Isolated(Box::new(choice)),
-                None if self.core.now() >= until => Clearance::Never(Rejection {
+                None if self.core.now() >= until => Clearance::Rejected(Rejection {
                     why: "suspect_waits",
                     after: SUSPECT_RETRY_AFTER,
                 }),
-                None => Clearance::Later,
+                None => Clearance::Wait,
             },
-            poison::Verdict::Quarantined => Clearance::Never(self.reject_quarantined()),
+            poison::Verdict::Quarantined => Clearance::Rejected(self.reject_quarantined()),
         }
     }
 
-    /// What is known of the request. On a day without crashes nothing is worked out.
+    /// Returns the quarantine verdict on the request. Without any evidence the content isn't hashed.
     fn verdict(&self) -> poison::Verdict {
         let quarantine = &self.core.quarantine;
         if quarantine.is_empty() {
@@ -60,12 +60,12 @@
         quarantine.ledger().verdict(content, self.core.now())
     }
 
-    /// What the request asks, as other boxes and later tries name it.
+    /// Returns the hash of the request's content, which is the same on other boxes and for later retries.
     pub(super) fn content(&self) -> poison::Content {
         *self.content.get_or_init(|| self.message.content())
     }
 
-    /// The refusal of a request that is shown to end engines.
+    /// Rejects a request that is known to crash engines.
     fn reject_quarantined(&self) -> Rejection {
         let content = self.content();
         let after = self
@@ -80,9 +80,9 @@
         }
     }
 
-    /// The engine at which a suspect may do the least harm: no other suspect is there, and the
-    /// fewest requests run. `None` while another try of it is under way anywhere, and while it would
-    /// take the last engine that is open.
+    /// Selects the engine for an isolated trial: one without another suspect and with the fewest running requests,
+    /// so that a crash does the least harm. `None` while a trial of the same request runs on any engine, or if only
+    /// the last available engine is left.
     fn choose_isolated(&self) -> Option<Choice> {
         let content = self.content();
         let core = self.core;
@@ -95,7 +95,13 @@
             (ledger.trials(now), ledger.ended(content))
         };
         let request = self.message.request;
-        let wanted = place::wanted(core, request, self.message.body, &self.tried, CandidateSet::Sure);
+        let wanted = selection::wanted(
+            core,
+            request,
+            self.message.body,
+            &self.tried,
+            CandidateSet::Listed,
+        );
         let instances = |instance: &Instance| !ended.contains(&quarantine::engine_name(instance));
         let free = |instance: &Instance| !trials.contains(&quarantine::engine_name(instance));
         let instance = core.upstreams.borrow().quietest(&wanted, instances, free, now)?;
@@ -112,8 +118,8 @@
         })
     }
 
-    /// Notes it if the engine has ended. A connection that ends shows nothing by itself: networks
-    /// and failing engines do that as well; but then the engine still takes another one.
+    /// Records a crash if the engine process has ended. A lost connection alone is no evidence, as network
+    /// faults and engine errors cause it too; in those cases the engine still accepts a new connection.
     pub(super) async fn note_end(&self, instance: &Instance, isolated: bool) {
         if pool::has_crashed(self.core, instance).await {
             let content = self.content();
@@ -121,7 +127,7 @@
         }
     }
 
-    /// Notes that an engine has run the request well.
+    /// Records that an engine has executed the request without a crash.
     pub(super) fn note_run(&self, instance: &Instance) {
         if !self.core.quarantine.is_empty() {
             let content = self.content();
--- a/crates/jb-relay/src/exchange/prompt.rs
+++ b/crates/jb-relay/src/exchange/kv_transfer.rs
@@ -1,4 +1,4 @@
-//! Where the parts of a prompt come from and go to, once its engine is chosen.
+//! Transfers of cached prompt segments to and from the selected engine.
 
 use std::net::SocketAddr;
 
@@ -8,36 +8,42 @@
 use jb_policy::weights::Version;
 use jb_protocol::{emit, event};
 
-use super::ask::Advice;
-use super::place::{self, CandidateSet};
+use super::account_query::Advice;
 use super::run::Exchange;
+use super::selection::{self, CandidateSet};
 use crate::peers::{self, Placed};
 use crate::upstream::Instance;
 
-/// Own tokens for each shared token that a prompt sent to a store may have. The own part
-/// goes there too and pushes out parts that others could use.
-const OWN_OF_SHARED: u64 = 1;
+/// Most unshared tokens per shared token in a prompt that is written to a cache store. The unshared segment is
+/// written too and evicts segments that other requests could use.
+const MAX_OWN_PER_SHARED: u64 = 1;
 
 impl<'a> Exchange<'a> {
     fn demand(&self) -> Demand<'a> {
-        place::demand(self.message.request, self.message.body)
+        selection::demand(self.message.request, self.message.body)
     }
 
-    /// Settles where the engine takes parts from that it lacks, and whether it sends
-    /// them to a store; returns the tokens that it must read itself.
-    pub(super) fn place_prompt(&mut self, instance: &Instance, advice: Option<&Advice>) -> u64 {
+    /// Decides from where the engine loads segments that it has not cached, and whether it writes them to a cache
+    /// store. Returns the tokens that the engine has to prefill.
+    pub(super) fn plan_transfer(&mut self, instance: &Instance, advice: Option<&Advice>) -> u64 {
         let request = self.message.request;
         let core = self.core;
         let Some((last, shared)) = request.prompt.split_last() else {
             return 0;
         };
         if let Some(advice) = advice {
-            return self.place_advised(instance, last.tokens, advice);
+            return self.plan_transfer_by_account(instance, last.tokens, advice);
         }
-        let wanted = place::wanted(core, request, self.message.body, &self.tried, CandidateSet::Sure);
+        let wanted = selection::wanted(
+            core,
+            request,
+            self.message.body,
+            &self.tried,
+            CandidateSet::Listed,
+        );
         let other = core.upstreams.borrow().source(instance, &wanted, core.now());
         let Some((found, version)) =
-            self.note_read(instance, shared, last.tokens + request.max_output_tokens)
+            self.note_prompt(instance, shared, last.tokens + request.max_output_tokens)
         else {
             return 0;
         };
@@ -71,8 +77,8 @@
         unread
     }
 
-    /// The same by the engine's account.
-    fn place_advised(&mut self, instance: &Instance, own: u64, advice: &Advice) -> u64 {
+    /// Like [`Self::plan_transfer`], from the state in the engine's account.
+    fn plan_transfer_by_account(&mut self, instance: &Instance, own: u64, advice: &Advice) -> u64 {
         let request = self.message.request;
         let core = self.core;
         let shared = self.demand().shared();
@@ -108,13 +114,19 @@
         unread
     }
 
-    /// Notes that an engine reads a prompt; returns the tokens that it had, and its weights.
-    fn note_read(&self, instance: &Instance, shared: &[Segment], own: u64) -> Option<(u64, Option<Version>)> {
+    /// Records in the cache model that the engine prefills the prompt. Returns the tokens that it had cached before,
+    /// and its weights version.
+    fn note_prompt(
+        &self,
+        instance: &Instance,
+        shared: &[Segment],
+        own: u64,
+    ) -> Option<(u64, Option<Version>)> {
         let request = self.message.request;
         let mut upstreams = self.core.upstreams.borrow_mut();
         let upstream = upstreams.instance_mut(instance)?;
         let found = upstream.cache.found(&request.prompt);
-        upstream.set_memory(self.memory());
+        upstream.set_memory(self.kv_capacity());
         upstream.cache.read(shared.iter().copied(), own);
         let placed = Placed {
             place: upstream.name,
@@ -127,7 +139,7 @@
         Some((found, version))
     }
 
-    /// Who has how much of the shared parts.
+    /// Returns how much of the shared segments the engine, another engine and the cache store hold.
     fn holdings(&self, shared: &[Segment], version: Option<Version>, own: u64, engine: u64) -> Holdings {
         let elsewhere = Holdings {
             own,
@@ -148,17 +160,17 @@
         }
     }
 
-    /// The family's store, to take parts from.
+    /// Returns the address of the prefix group's cache store as the source of segments.
     fn read_from_store(&self, shared: &[Segment], version: Option<Version>) -> Option<SocketAddr> {
         let mut cache_stores = self.core.cache_stores.borrow_mut();
         let store = cache_stores.of(self.demand().family()?)?;
-        // Parts that it has dropped count again only once it is sent them again.
+        // Segments that the store has evicted count as stored only after they are written again.
         store.note_load(shared, version?);
         Some(store.address)
     }
 
-    /// The family's store, where the engine is to send the parts that the store lacks; `held`
-    /// are the tokens that it has.
+    /// Returns the address of the prefix group's cache store if the engine should write segments to it; `held` is
+    /// the number of shared tokens that the store has.
     fn send_to_store(
         &self,
         shared: &[Segment],
@@ -170,7 +182,7 @@
         let all = self.demand().shared();
         let store = cache_stores.of(self.demand().family()?)?;
         let version = version?;
-        if held >= all || own > all * OWN_OF_SHARED {
+        if held >= all || own > all * MAX_OWN_PER_SHARED {
             return None;
         }
         store.note_store(shared.iter().copied(), version, own);
@@ -184,8 +196,8 @@
         Some(store.address)
     }
 
-    /// Tokens that an engine of the service holds.
-    fn memory(&self) -> u64 {
+    /// Returns the KV cache capacity of one engine of the service, in tokens; 0 if unknown.
+    fn kv_capacity(&self) -> u64 {
         let request = self.message.request;
         request
             .configuration
--- a/crates/jb-relay/src/exchange/count.rs
+++ b/crates/jb-relay/src/exchange/load_guard.rs
@@ -1,4 +1,4 @@
-//! Load that a request puts on an upstream.
+//! Accounting of the load that a request puts on an upstream.
 
 use std::time::Duration;
 
@@ -8,18 +8,18 @@
 use crate::peers::{self, Held};
 use crate::upstream::Instance;
 
-/// Load of one request at one upstream, counted until dropped.
+/// Load of one request at one upstream, counted until the guard is dropped.
 pub(super) struct LoadGuard<'a> {
     core: &'a Shared,
     instance: &'a Instance,
     waiting: u64,
     fixed: bool,
     sent: Moment,
-    /// When the first event came.
-    begun: Option<Moment>,
-    /// Tokens to be read before its first one, its own with them.
-    ahead: u64,
-    /// The place in the engine's account.
+    /// When the first event arrived.
+    first_event_at: Option<Moment>,
+    /// Prompt tokens that the engine prefills before this request's first token, its own included.
+    queued_tokens: u64,
+    /// Reservation in the engine's account.
     held: Option<Held>,
 }
 
@@ -31,13 +31,13 @@
         fixed: bool,
         held: Option<Held>,
     ) -> Self {
-        let mut ahead = waiting;
+        let mut queued_tokens = waiting;
         if let Some(upstream) = core
             .upstreams
             .borrow_mut()
             .begin_request(instance, waiting, fixed)
         {
-            ahead = upstream.waiting + upstream.others.waiting;
+            queued_tokens = upstream.waiting + upstream.others.waiting;
             peers::note_sent(core, upstream, waiting);
         }
         Self {
@@ -46,37 +46,37 @@
             waiting,
             fixed,
             sent: core.now(),
-            begun: None,
-            ahead,
+            first_event_at: None,
+            queued_tokens,
             held,
         }
     }
 
-    /// The first token has come, to a request of a service.
-    pub(super) fn first_token(&mut self, service: &str) {
-        self.begun.get_or_insert(self.core.now());
+    /// Notes that data of the response has arrived; the first call is a sample of the service's prefill rate.
+    pub(super) fn note_first_token(&mut self, service: &str) {
+        self.first_event_at.get_or_insert(self.core.now());
         if self.waiting > 0 {
             let took = self.core.now().saturating_sub(self.sent);
             let mut paces = self.core.prefill_rates.borrow_mut();
             paces
                 .entry(service.to_owned())
                 .or_default()
-                .note(self.ahead, took);
+                .note(self.queued_tokens, took);
         }
-        self.started();
+        self.clear_waiting();
         if let Some(held) = &self.held {
             held.begin();
         }
     }
 
-    /// Time for which it has run, from its first event on.
-    pub(super) fn ran(&self) -> Duration {
-        let begun = self.begun.unwrap_or(self.core.now());
-        self.core.now().saturating_sub(begun)
+    /// Returns the time since the first event; zero before it.
+    pub(super) fn running_time(&self) -> Duration {
+        let first_event_at = self.first_event_at.unwrap_or(self.core.now());
+        self.core.now().saturating_sub(first_event_at)
     }
 
-    /// Nothing of it waits any more.
-    fn started(&mut self) {
+    /// Removes the request's prompt tokens from the upstream's queued tokens.
+    fn clear_waiting(&mut self) {
         if let Some(upstream) = self.core.upstreams.borrow_mut().instance_mut(self.instance) {
             upstream.waiting = upstream.waiting.saturating_sub(self.waiting);
         }
@@ -86,7 +86,7 @@
 
 impl Drop for LoadGuard<'_> {
     fn drop(&mut self) {
-        self.started();
+        self.clear_waiting();
         self.core
             .upstreams
             .borrow_mut()
--- a/crates/jb-relay/src/exchange/mod.rs
+++ b/crates/jb-relay/src/exchange/mod.rs
@@ -1,12 +1,12 @@
-//! One request from its admission to its last byte.
+//! Runs an admitted request: selects an upstream, sends, retries, and delivers the response.
 
-mod ask;
-mod count;
+mod account_query;
+mod feedback;
 mod isolation;
-mod judge;
+mod kv_transfer;
+mod load_guard;
 mod pick;
-mod place;
-mod prompt;
 mod run;
+mod selection;
 
 pub use run::{Exchange, RequestOutcome};
--- a/crates/jb-relay/src/exchange/pick.rs
+++ b/crates/jb-relay/src/exchange/pick.rs
@@ -1,4 +1,4 @@
-//! Which upstream a request is sent to next, and how long it waits for one.
+//! Waits for an upstream that can accept the request.
 
 use std::time::Duration;
 
@@ -6,59 +6,59 @@
 use jb_policy::gate::Verdict;
 use tokio::time::sleep;
 
-use super::isolation::{Clearance, SUSPECT_PATIENCE};
-use super::place::{self, Choice};
+use super::isolation::{Clearance, MAX_SUSPECT_WAIT};
 use super::run::Exchange;
+use super::selection::{self, Choice};
 use crate::http::Connection;
 
-/// Pause before the upstreams are looked through again when none is open.
-const LOOK_AGAIN: Duration = Duration::from_millis(40);
-/// Pause before a request that waits for a place in time is judged again: loads of other boxes
-/// arrive every 100 ms, own first tokens come at any time.
-const LOOK_FOR_PLACE: Duration = Duration::from_millis(20);
-/// Share of the wanted time for which a request waits in the box for an upstream.
-const WAIT_SHARE: f64 = 0.2;
+/// Interval at which selection is repeated while no upstream is available.
+const RESELECT_INTERVAL: Duration = Duration::from_millis(40);
+/// Interval at which admission is decided again for a queued request. Loads of other boxes arrive every
+/// 100 ms, first tokens of this box's own requests at any time.
+const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Part of the target latency for which a request may wait in the box for an upstream.
+const MAX_WAIT_SHARE: f64 = 0.2;
 
-/// Why a request goes to no engine now.
+/// Rejection of a request before it is sent to an upstream.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Rejection {
     pub(super) why: &'static str,
-    /// Time after which its caller may come back.
+    /// Time after which the caller may retry.
     pub(super) after: Duration,
 }
 
 impl Exchange<'_> {
-    /// The upstream for the next send; waits a little when none is open, for a place in time at the
-    /// first send, and where the request is a suspect for one that no other suspect has.
+    /// Returns the upstream for the next attempt. Waits for a limited time while none is available, while the
+    /// first attempt has to queue for capacity, and while a suspect request has no engine without another suspect.
+    /// `None` if the request is rejected, the wait runs out, or the caller closes the connection.
     pub(super) async fn pick(&mut self, client: &mut Connection) -> Option<Choice> {
         let request = self.message.request;
-        // A stream that goes on may pause for as long as its route allows.
+        // A resumed stream may pause for as long as its route allows between two events.
         let until = match self.message.last_event {
             Some(_) => self.core.now() + request.route.max_event_gap,
-            None => request.arrived_at + request.route.target_latency.mul_f64(WAIT_SHARE),
+            None => request.arrived_at + request.route.target_latency.mul_f64(MAX_WAIT_SHARE),
         };
-        let suspect_until = (self.core.now() + SUSPECT_PATIENCE).min(request.deadline);
+        let suspect_until = (self.core.now() + MAX_SUSPECT_WAIT).min(request.deadline);
         loop {
-            match self.pass(suspect_until) {
-                Clearance::Freely => {}
+            match self.clearance(suspect_until) {
+                Clearance::AnyEngine => {}
                 Clearance::Isolated(choice) => return Some(*choice),
-                Clearance::Later => {
-                    self.wait(LOOK_FOR_PLACE, client).await?;
+                Clearance::Wait => {
+                    self.wait(CAPACITY_POLL_INTERVAL, client).await?;
                     continue;
                 }
-                Clearance::Never(refused) => {
-                    self.refused = Some(refused);
+                Clearance::Rejected(rejection) => {
+                    self.rejection = Some(rejection);
                     return None;
                 }
             }
-            let pause = match place::choose_advised(self.core, request, self.message.body, &self.tried).await
-            {
+            let pause = match selection::select(self.core, request, self.message.body, &self.tried).await {
                 Some(choice) if !self.tried.is_empty() => return Some(choice),
                 Some(choice) => match choice.verdict {
                     Verdict::Send => return Some(choice),
-                    Verdict::Wait => LOOK_FOR_PLACE,
+                    Verdict::Wait => CAPACITY_POLL_INTERVAL,
                     Verdict::Refuse(after) => {
-                        self.refused = Some(Rejection {
+                        self.rejection = Some(Rejection {
                             why: "no_room",
                             after,
                         });
@@ -66,28 +66,28 @@
                     }
                 },
                 None => {
-                    self.refused = self.reject_backing_off(until);
-                    if self.refused.is_some() || self.core.now() >= until {
+                    self.rejection = self.reject_if_all_held_back(until);
+                    if self.rejection.is_some() || self.core.now() >= until {
                         return None;
                     }
-                    LOOK_AGAIN
+                    RESELECT_INTERVAL
                 }
             };
             self.wait(pause, client).await?;
         }
     }
 
-    /// Rejects a request whose upstreams all back off or are limited until after a moment, those that have
-    /// rejected it included.
-    fn reject_backing_off(&self, until: Moment) -> Option<Rejection> {
-        let back = place::first_back(self.core, self.message.request, self.message.body)?;
+    /// Rejects the request if all its upstreams, including those that have rejected it, back off or are
+    /// rate-limited until after `until`.
+    fn reject_if_all_held_back(&self, until: Moment) -> Option<Rejection> {
+        let back = selection::earliest_availability(self.core, self.message.request, self.message.body)?;
         (back > until).then(|| Rejection {
             why: "all_back_off",
             after: back.saturating_sub(self.core.now()),
         })
     }
 
-    /// Waits; `None` when the caller goes meanwhile.
+    /// Waits; `None` if the caller closes the connection meanwhile.
     async fn wait(&self, pause: Duration, client: &mut Connection) -> Option<()> {
         tokio::select! {
             () = sleep(pause) => Some(()),
--- a/crates/jb-relay/src/exchange/run.rs
+++ b/crates/jb-relay/src/exchange/run.rs
@@ -1,4 +1,4 @@
-//! The sends of one request, up to its ending.
+//! The attempts of one request, until it is answered or given up.
 
 use std::cell::{Cell, OnceCell};
 use std::rc::Rc;
@@ -10,10 +10,10 @@
 use jb_protocol::{emit, event};
 use tokio::time::sleep;
 
-use super::count::LoadGuard;
 use super::isolation::CRASH_WINDOW;
+use super::load_guard::LoadGuard;
 use super::pick::Rejection;
-use super::place::{self, Choice};
+use super::selection::{self, Choice};
 use crate::admission::AdmittedRequest;
 use crate::attempt::{self, AttemptOutcome, Message, Reply};
 use crate::configuration::RouteKind;
@@ -24,54 +24,54 @@
 use crate::quarantine;
 use crate::upstream::Instance;
 
-/// Sends of one request at most, with those that were turned away.
-const MOST_SENDS: u32 = 4;
+/// Upper bound on the attempts of one request, including those that the upstream rejected.
+const MAX_SENDS: u32 = 4;
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The upstream's answer was delivered.
+    /// The upstream's response was delivered; its status.
     Answered(u16),
-    /// Nothing has run.
+    /// No upstream has executed the request; the reason.
     NotRun(&'static str),
-    /// It may have run, and there is no answer.
+    /// An upstream may have executed the request, and there is no response; the reason.
     Lost(&'static str),
-    /// The time was over.
+    /// The deadline passed.
     Late,
-    /// The answer broke off on its way to the caller.
+    /// The response was cut off after part of it had been delivered; the reason.
     Broken(&'static str),
-    /// The caller has gone.
+    /// The caller closed the connection.
     CallerGone,
 }
 
-/// Progress of a request over its sends.
+/// Progress of a request across its attempts.
 pub struct Exchange<'a> {
     pub(super) core: &'a Shared,
     pub(super) message: Message<'a>,
     pub(super) tried: Vec<Instance>,
     pub(super) sends: u32,
     pub(super) runs: u32,
-    /// Whether the next send is taken from the retry budget already.
-    pub(super) paid: bool,
-    /// Why it goes to no engine now.
-    pub(super) refused: Option<Rejection>,
-    /// What it asks, once that was worked out.
+    /// Whether the retry budget has already granted the next attempt.
+    pub(super) retry_granted: bool,
+    /// Why the request is sent to no upstream now.
+    pub(super) rejection: Option<Rejection>,
+    /// Hash of the request's content, computed on first use.
     pub(super) content: OnceCell<Content>,
-    /// Where the end of the request is noted for the engine's account.
+    /// Result of the current attempt, which is reported to the engine's account.
     pub(super) ending: Option<Rc<Cell<peers::Ending>>>,
     pub(super) pace: StreamTiming,
 }
 
-/// What follows a send.
+/// What to do after an attempt.
 enum Next {
-    /// Another upstream may try.
+    /// Select another upstream.
     Again,
-    /// The request has ended.
+    /// Finish the request with this outcome.
     End(RequestOutcome),
 }
 
 impl<'a> Exchange<'a> {
-    /// A request that nothing has been done for yet.
+    /// Creates the exchange of a request that has not been sent yet.
     pub fn new(core: &'a Shared, query: &'a Query, body: &'a Bytes, request: &'a AdmittedRequest) -> Self {
         let message = Message {
             head: query,
@@ -87,44 +87,45 @@
             tried: Vec::new(),
             sends: 0,
             runs: 0,
-            paid: false,
-            refused: None,
+            retry_granted: false,
+            rejection: None,
             content: OnceCell::new(),
             ending: None,
             pace: StreamTiming::default(),
         }
     }
 
-    /// Runs the request to its end. Everything but the answer itself is left to the caller.
+    /// Sends the request until it succeeds or is given up. Delivers only responses of upstreams; error
+    /// responses are left to the caller of this function.
     pub async fn run(&mut self, client: &mut Connection) -> RequestOutcome {
         let request = self.message.request;
         self.core.count_request(&request.service);
         let mut why = "no_upstream";
         loop {
             if self.left().is_zero() {
-                return self.give_up(why);
+                return self.terminal_outcome(why);
             }
             let Some(choice) = self.pick(client).await else {
-                return self.give_up(self.refused.map_or(why, |refused| refused.why));
+                return self.terminal_outcome(self.rejection.map_or(why, |rejection| rejection.why));
             };
-            // Where it is denied, the upstream isn't open any more when the next one is picked.
+            // After a denial the upstream's rate limit is marked as used up, so it isn't selected again.
             let Ok(permit) = peers::acquire(self.core, &choice.instance).await else {
                 continue;
             };
-            let paid = std::mem::take(&mut self.paid) || self.sends == 0;
-            if !paid && !self.core.take_retry(&request.service) {
-                return self.give_up("retry_budget");
+            let retry_granted = std::mem::take(&mut self.retry_granted) || self.sends == 0;
+            if !retry_granted && !self.core.take_retry(&request.service) {
+                return self.terminal_outcome("retry_budget");
             }
             match self.attempt(choice, permit, client).await {
                 Ok(Next::End(ending)) => return ending,
                 Ok(Next::Again) => {}
                 Err(cause) => why = cause,
             }
-            if self.tried.len() as u32 >= MOST_SENDS {
-                return self.give_up(why);
+            if self.tried.len() as u32 >= MAX_SENDS {
+                return self.terminal_outcome(why);
             }
             if self.runs > 0 && (!request.route.is_retryable() || self.runs >= request.route.max_attempts) {
-                return self.give_up(why);
+                return self.terminal_outcome(why);
             }
         }
     }
@@ -133,8 +134,8 @@
         self.message.request.deadline.saturating_sub(self.core.now())
     }
 
-    /// Ending of a request that goes no further.
-    fn give_up(&self, why: &'static str) -> RequestOutcome {
+    /// Returns the outcome of a request that is given up.
+    fn terminal_outcome(&self, why: &'static str) -> RequestOutcome {
         match (self.runs, self.left().is_zero()) {
             (0, _) => RequestOutcome::NotRun(why),
             (_, true) => RequestOutcome::Late,
@@ -142,7 +143,8 @@
         }
     }
 
-    /// One send, and the delivery of its answer.
+    /// Sends the request once and delivers the response. `Err` holds the reason of a failed attempt after
+    /// which another upstream may be selected.
     async fn attempt(
         &mut self,
         choice: Choice,
@@ -159,25 +161,25 @@
             ..
         } = choice;
         let instance = &instance;
-        let waiting = self.place_prompt(instance, advice.as_ref());
+        let waiting = self.plan_transfer(instance, advice.as_ref());
         let last = !request.route.is_retryable() || self.runs + 1 >= request.route.max_attempts;
         let held = advice.map(|advice| advice.held);
         self.ending = held.as_ref().map(Held::ending);
         let mut counted = LoadGuard::new(core, instance, waiting, last, held);
         self.tried.push(instance.clone());
-        // It is a try of a suspect until the end of this send.
+        // Marks the isolated trial as running until this attempt ends.
         let _tried = isolated.then(|| quarantine::begin_trial(core, self.content(), instance));
         let outcome = tokio::select! {
-            outcome = self.patiently(instance, permit, estimate.first) => outcome,
+            outcome = self.send_until_stalled(instance, permit, estimate.first) => outcome,
             () = client.closed() => {
-                // It is under way, and may run.
+                // The request may already be on its way to the upstream, which may execute it.
                 self.runs += 1;
                 return Ok(Next::End(RequestOutcome::CallerGone));
             }
         };
         match outcome {
             AttemptOutcome::Unsent(why) => {
-                self.blame(instance, "unsent", &why);
+                self.record_failure(instance, "unsent", &why);
                 Err("unreachable")
             }
             AttemptOutcome::Withdrawn => Err("withdrawn"),
@@ -190,7 +192,7 @@
             AttemptOutcome::Failed(why) => {
                 self.sends += 1;
                 self.runs += 1;
-                self.blame(instance, "may_have_run", &why);
+                self.record_failure(instance, "may_have_run", &why);
                 self.note_end(instance, isolated).await;
                 Err("upstream_failed")
             }
@@ -204,7 +206,7 @@
                         RequestOutcome::Answered(_) | RequestOutcome::CallerGone
                     ))
                 ) {
-                    self.note_end(instance, isolated && counted.ran() < CRASH_WINDOW)
+                    self.note_end(instance, isolated && counted.running_time() < CRASH_WINDOW)
                         .await;
                 }
                 next
@@ -212,13 +214,18 @@
         }
     }
 
-    /// Sends; a request that may run again leaves a silent upstream as soon as another one can
-    /// take it. Silence alone ends nothing: the answer may only be late.
-    async fn patiently(&mut self, instance: &Instance, permit: Permit, first: Duration) -> AttemptOutcome {
-        const SILENT: &str = "silent for longer than it should take";
+    /// Sends the request and waits for the response head. A retryable request is moved from a stalled upstream
+    /// once another one can accept it. A stall alone doesn't fail the attempt, as the response may only be late.
+    async fn send_until_stalled(
+        &mut self,
+        instance: &Instance,
+        permit: Permit,
+        first: Duration,
+    ) -> AttemptOutcome {
+        const SILENT: &str = "no response within the stall timeout";
         let request = self.message.request;
-        let more = request.route.is_retryable() && self.runs + 1 < request.route.max_attempts;
-        // Engines that have much to read are silent for as long.
+        let may_retry = request.route.is_retryable() && self.runs + 1 < request.route.max_attempts;
+        // An engine sends nothing while it prefills, so the estimated time to the first token extends the timeout.
         let patience = request.route.response_stall_timeout().max(2 * first);
         let sent = attempt::send(self.core, instance, &self.message, permit);
         tokio::pin!(sent);
@@ -229,14 +236,15 @@
                 () = sleep(patience.min(self.left())) => {}
             }
             if self.left().is_zero() {
-                return AttemptOutcome::Failed("the time is over".to_owned());
+                return AttemptOutcome::Failed("deadline exceeded".to_owned());
             }
-            if more && place::goes_on(self.core, request, self.message.body, &self.tried) {
-                self.paid = true;
+            if may_retry && selection::can_retry_elsewhere(self.core, request, self.message.body, &self.tried)
+            {
+                self.retry_granted = true;
                 return AttemptOutcome::Failed(SILENT.to_owned());
             }
             if !blamed {
-                self.blame(instance, "waits", SILENT);
+                self.record_failure(instance, "waits", SILENT);
                 blamed = true;
             }
         }
@@ -255,87 +263,88 @@
         let success = (200..300).contains(&status);
         let signed = reply.answer.headers.get(core.header_names.signature).is_some();
         if success && (!signed || reply.answer.headers.get("content-encoding").is_some()) {
-            self.blame(
+            self.record_failure(
                 instance,
                 "may_have_run",
-                "a success that the engine has not signed",
+                "successful response is encoded or lacks the engine's signature",
             );
             return Err("spoiled");
         }
         let again = status >= 500 && request.route.is_retryable() && self.runs < request.route.max_attempts;
         if again && self.core.take_retry(&request.service) {
-            // Without budget the caller gets the engine's failure instead.
-            self.paid = true;
+            // Without a retry from the budget, the caller gets the engine's error response.
+            self.retry_granted = true;
             emit!(core.logger, info, event::ATTEMPT_FAILED, "request" => &request.id,
                 "upstream" => %instance, "outcome" => "ran", "status" => status);
             return Err("upstream_error");
         }
         let delivered = if success && request.route.kind == RouteKind::Stream {
             let body = self.message.body;
-            let more = self.runs < request.route.max_attempts;
-            let elsewhere = || {
-                self.paid = more && place::goes_on(core, request, body, &self.tried);
-                self.paid
+            let may_retry = self.runs < request.route.max_attempts;
+            let can_move = || {
+                self.retry_granted =
+                    may_retry && selection::can_retry_elsewhere(core, request, body, &self.tried);
+                self.retry_granted
             };
-            let started = || counted.first_token(&request.service);
+            let on_data = || counted.note_first_token(&request.service);
             let pace = &mut self.pace;
-            deliver::stream(core, &mut self.message, reply, client, pace, started, elsewhere).await
+            deliver::stream(core, &mut self.message, reply, client, pace, on_data, can_move).await
         } else {
             deliver::whole(core, request, reply, client).await
         };
         match delivered {
             DeliveryOutcome::Complete => {
                 if status < 500 {
-                    self.praise(instance);
+                    self.record_success(instance);
                     self.note_run(instance);
                 }
                 Ok(Next::End(RequestOutcome::Answered(status)))
             }
             DeliveryOutcome::Nothing(why) => {
-                self.blame(instance, "may_have_run", why);
+                self.record_failure(instance, "may_have_run", why);
                 Err("broke_off")
             }
             DeliveryOutcome::Partly(why) => {
-                self.blame(instance, "ran_partly", why);
-                let more = request.route.resumable && self.runs < request.route.max_attempts;
-                if more && self.message.last_event.is_some() {
+                self.record_failure(instance, "ran_partly", why);
+                let may_retry = request.route.resumable && self.runs < request.route.max_attempts;
+                if may_retry && self.message.last_event.is_some() {
                     emit!(core.logger, info, event::STREAM_RESUMED, "request" => &request.id,
                         "after" => self.message.last_event, "why" => why);
                     return Ok(Next::Again);
                 }
                 Ok(Next::End(RequestOutcome::Broken(why)))
             }
-            DeliveryOutcome::Late => Ok(Next::End(RequestOutcome::Broken("the time is over"))),
+            DeliveryOutcome::Late => Ok(Next::End(RequestOutcome::Broken("deadline exceeded"))),
             DeliveryOutcome::CallerGone => Ok(Next::End(RequestOutcome::CallerGone)),
         }
     }
 
-    /// Whether a part of an answer has been delivered.
+    /// Returns whether part of a stream has been delivered.
     pub fn has_begun(&self) -> bool {
         self.message.last_event.is_some()
     }
 
-    /// How often the request may have run.
+    /// Returns how often the request may have been executed.
     pub fn possible_runs(&self) -> u32 {
         self.runs
     }
 
-    /// Time of the request so far.
+    /// Returns the time since the request arrived.
     pub fn elapsed(&self) -> Moment {
         self.core.now().saturating_sub(self.message.request.arrived_at)
     }
 
-    /// Pace of the stream.
+    /// Returns the timing of the stream's events.
     pub fn timing(&self) -> StreamTiming {
         self.pace
     }
 
-    /// Time after which a refused request finds room.
+    /// Returns the time after which a rejected request may be retried.
     pub fn retry_after(&self) -> Option<Duration> {
-        self.refused.map(|refused| refused.after)
+        self.rejection.map(|rejection| rejection.after)
     }
 
-    /// Upstreams that were tried.
+    /// Returns the upstreams that the request was sent to, in order.
     pub fn tried(&self) -> &[Instance] {
         &self.tried
     }
--- a/crates/jb-relay/src/exchange/place.rs
+++ b/crates/jb-relay/src/exchange/selection.rs
@@ -1,4 +1,4 @@
-//! The upstream of a send.
+//! Selection of the upstream for an attempt.
 
 use bytes::Bytes;
 use jb_policy::Moment;
@@ -6,92 +6,92 @@
 use jb_policy::gate::{self, Estimate, Verdict};
 use jb_policy::reach::Avoided;
 
-use super::ask::{self, Advice};
+use super::account_query::{self, Advice};
 use crate::admission::AdmittedRequest;
 use crate::core::{Core, Shared};
 use crate::peers;
 use crate::upstream::{Instance, Wanted};
 
-/// Part of the bound on older weights after which nothing is sent to them.
-const WEIGHTS_SHARE: f64 = 0.85;
+/// Part of the grace period for old weights after which nothing is sent to engines that have them.
+const OLD_WEIGHTS_SHARE: f64 = 0.85;
 
-/// The upstream that is chosen for a request, with what it would do.
+/// The upstream selected for a request, with the estimate for it.
 pub(super) struct Choice {
     pub(super) instance: Instance,
     pub(super) estimate: Estimate,
-    /// Whether it is sent there now, as the first send.
+    /// Whether a first attempt is sent now, waits, or is rejected.
     pub(super) verdict: Verdict,
-    /// Whether all its places are taken.
+    /// Whether all slots of the upstream are in use.
     pub(super) full: bool,
-    /// Whether the request is a suspect, and the only one there.
+    /// Whether the request is a suspect in an isolated trial.
     pub(super) isolated: bool,
-    /// State by its account, where that was asked.
+    /// State by the engine's account; `None` if no account was queried.
     pub(super) advice: Option<Advice>,
 }
 
 impl Choice {
-    /// Whether the upstream has a place for the request now.
-    fn has_place(&self) -> bool {
+    /// Returns whether the upstream has a free slot for the request now.
+    fn has_capacity(&self) -> bool {
         self.verdict == Verdict::Send && !self.full
     }
 }
 
-/// Upstreams among which is chosen.
+/// Which upstreams are candidates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CandidateSet {
-    /// Those whose entries are there, in reachable data halls.
+    /// Those with an entry in the store, in reachable data halls.
     Reachable,
-    /// Those whose entries are there.
-    Sure,
-    /// Those that may be gone as well.
+    /// Those with an entry in the store.
+    Listed,
+    /// Also those whose entries have expired during an outage of the store, which may be gone.
     All,
 }
 
-/// The upstream that a request is sent to next, by the accounts of engines where boxes are too
-/// many to know from each other what engines do.
+/// Selects the upstream for the next attempt. In a large fleet, where boxes can't broadcast the load of all
+/// engines to each other, the accounts of engines are queried.
 ///
-/// An upstream of an unreachable data hall is taken only where no other one has a place. After an outage of the store
-/// the same holds for an upstream whose entry is missing, and which may be gone.
-pub(super) async fn choose_advised(
+/// An upstream in an unreachable data hall is selected only if no other one has a free slot. After an outage of
+/// the store the same applies to an upstream whose entry is missing, as it may be gone.
+pub(super) async fn select(
     core: &Shared,
     request: &AdmittedRequest,
     body: &Bytes,
     tried: &[Instance],
 ) -> Option<Choice> {
     if avoided(core) != Avoided::None {
-        let reachable = advised(core, request, body, tried, CandidateSet::Reachable).await;
-        if reachable.as_ref().is_some_and(Choice::has_place) {
+        let reachable = select_from(core, request, body, tried, CandidateSet::Reachable).await;
+        if reachable.as_ref().is_some_and(Choice::has_capacity) {
             return reachable;
         }
     }
-    let sure = advised(core, request, body, tried, CandidateSet::Sure).await;
-    if sure.as_ref().is_some_and(Choice::has_place) || !has_last_resort(core, request) {
-        return sure;
+    let listed = select_from(core, request, body, tried, CandidateSet::Listed).await;
+    if listed.as_ref().is_some_and(Choice::has_capacity) || !has_last_resort(core, request) {
+        return listed;
     }
-    advised(core, request, body, tried, CandidateSet::All)
+    select_from(core, request, body, tried, CandidateSet::All)
         .await
-        .or(sure)
+        .or(listed)
 }
 
-async fn advised(
+async fn select_from(
     core: &Shared,
     request: &AdmittedRequest,
     body: &Bytes,
     tried: &[Instance],
     among: CandidateSet,
 ) -> Option<Choice> {
-    let by_account = !request.prompt.is_empty() && !core.book.borrow().is_small();
-    if by_account && let Some(choice) = ask::choose(core, request, body, tried, among).await {
+    let use_accounts = !request.prompt.is_empty() && !core.book.borrow().is_small();
+    if use_accounts && let Some(choice) = account_query::choose(core, request, body, tried, among).await {
         return Some(choice);
     }
     choose(core, request, body, tried, among)
 }
 
-/// Data halls that this box can't connect to.
+/// Returns the data halls that this box can't connect to.
 fn avoided(core: &Core) -> Avoided {
     let reach = core.hall_reachability.borrow();
     if reach.is_clear() {
-        // The usual case, in which a request need not count the boxes that are reachable.
+        // Skips the count of reachable boxes in the usual case.
         return Avoided::None;
     }
     reach.avoided(core.now(), peers::is_hall_isolated(core))
@@ -102,7 +102,7 @@
     upstreams.has_last_resort(&request.service, core.now())
 }
 
-/// The upstream that a request is sent to next, if one is open.
+/// Selects the upstream for the next attempt from the loads that this box knows; `None` if no one is available.
 fn choose(
     core: &Core,
     request: &AdmittedRequest,
@@ -120,9 +120,10 @@
     };
     Some(Choice {
         instance: ids[at].clone(),
-        // In a large fleet loads that aren't from an account are 0.2 to 0.6 s old, too old to wait for.
+        // In a large fleet, loads that don't come from an account are 0.2 to 0.6 s old, which is too old
+        // to decide that a request has to wait.
         verdict: if core.book.borrow().is_small() {
-            judge(core, request, &estimate)
+            admission_verdict(core, request, &estimate)
         } else {
             Verdict::Send
         },
@@ -133,7 +134,7 @@
     })
 }
 
-/// Weights of the choice, with what is known of the service's engines.
+/// Returns the cost parameters, with the service's measured prefill rate and transfer speed.
 pub(super) fn tuning(core: &Core, request: &AdmittedRequest) -> Tuning {
     let pace = core
         .prefill_rates
@@ -150,8 +151,8 @@
     }
 }
 
-/// Whether a request that nothing has been done for is sent now.
-pub(super) fn judge(core: &Core, request: &AdmittedRequest, estimate: &Estimate) -> Verdict {
+/// Decides whether a request that has not been sent yet is sent now, waits, or is rejected.
+pub(super) fn admission_verdict(core: &Core, request: &AdmittedRequest, estimate: &Estimate) -> Verdict {
     if request.prompt.is_empty() {
         return Verdict::Send;
     }
@@ -168,14 +169,20 @@
     gate::judge(&request, estimate)
 }
 
-/// Whether another upstream takes a request whose upstream is silent: one is open, and the
-/// retry budget has granted the send.
-pub(super) fn goes_on(core: &Core, request: &AdmittedRequest, body: &Bytes, tried: &[Instance]) -> bool {
+/// Returns whether a request can leave a stalled upstream: another one is available, and the retry budget
+/// grants the attempt.
+pub(super) fn can_retry_elsewhere(
+    core: &Core,
+    request: &AdmittedRequest,
+    body: &Bytes,
+    tried: &[Instance],
+) -> bool {
     choose(core, request, body, tried, CandidateSet::All).is_some() && core.take_retry(&request.service)
 }
 
-/// When the first upstream is back, where all that a new try of the request could go to rest.
-pub(super) fn first_back(core: &Core, request: &AdmittedRequest, body: &Bytes) -> Option<Moment> {
+/// Returns when the first upstream accepts requests again, if all that could serve a retry of the request
+/// back off or are rate-limited.
+pub(super) fn earliest_availability(core: &Core, request: &AdmittedRequest, body: &Bytes) -> Option<Moment> {
     let wanted = wanted(core, request, body, &[], CandidateSet::All);
     core.upstreams.borrow().first_back(&wanted, core.now())
 }
@@ -194,19 +201,19 @@
         weights: model
             .and_then(|model| core.weights.borrow().get(model).cloned())
             .unwrap_or_default(),
-        time: core.settings.bounds.old_weights_grace.mul_f64(WEIGHTS_SHARE),
+        time: core.settings.bounds.old_weights_grace.mul_f64(OLD_WEIGHTS_SHARE),
         hall: &core.settings.hall,
         demand: demand(request, body),
         except: tried,
         last_resort: among == CandidateSet::All,
         avoided: match among {
             CandidateSet::Reachable => avoided(core),
-            CandidateSet::Sure | CandidateSet::All => Avoided::None,
+            CandidateSet::Listed | CandidateSet::All => Avoided::None,
         },
     }
 }
 
-/// What a request asks of an upstream.
+/// Returns what the request demands of an upstream.
 pub(super) fn demand<'a>(request: &'a AdmittedRequest, body: &Bytes) -> Demand<'a> {
     Demand {
         prompt: &request.prompt,
