--- a/crates/jb-relay/src/core.rs
+++ b/crates/jb-relay/src/core.rs
@@ -1,4 +1,4 @@
-//! What the duties of a box share. All of them run on one thread.
+//! State shared by the tasks of a box, which all run on one thread.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -36,7 +36,7 @@
 /// Reference to the shared state.
 pub type Shared = Rc<Core>;
 
-/// Where news of the store come from.
+/// Where updates of the store's state come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateOrigin {
     /// The store itself.
@@ -45,13 +45,13 @@
     Box(Source),
 }
 
-/// State that the duties share.
+/// State shared by the tasks of a box.
 pub struct Core {
     /// Settings of the box.
     pub settings: Settings,
-    /// Header names of the platform.
+    /// Names of the platform's headers.
     pub header_names: HeaderNames,
-    /// Weights of the choice.
+    /// Cost parameters of upstream selection.
     pub tuning: Tuning,
     /// Store of the platform.
     pub store: Rc<dyn Store>,
@@ -61,80 +61,80 @@
     pub logger: Logger,
     /// Counters.
     pub metrics: Metrics,
-    /// Planned stop.
+    /// Progress of a graceful shutdown.
     pub stop: Stop,
-    /// Configuration in force; `None` before the first.
+    /// Active configuration; `None` before the first one is received.
     pub configuration: RefCell<Option<Rc<Configuration>>>,
-    /// When the call was sent whose answer proves what is in force.
+    /// Time as of which the state is known to match the store: when the call was sent that confirmed it.
     pub verified_at: Cell<Option<Moment>>,
-    /// The same without updates of other boxes while the own path to the store was cut.
+    /// Like `verified_at`, without updates that other boxes passed on while this box couldn't reach the store.
     pub verified_directly_at: Cell<Option<Moment>>,
-    /// Span in which the store is known to have answered this box or others, but for silences that
-    /// cost no entry.
+    /// Span in which the store is known to have answered this box or others, apart from outages too short for
+    /// an entry to expire.
     pub store_uptime: Cell<Option<Span>>,
-    /// The last restore of the store since the box's start.
+    /// Last restore of the store from a backup since this box started.
     pub last_restore: Cell<Option<Restore>>,
-    /// Era of the store in which everything is known to have been written again.
+    /// Era of the store in which all lost items are known to have been written again.
     pub settled_era: Cell<Option<Era>>,
-    /// Where the last news of the store came from; `None` while the own calls fail.
+    /// Where the last update came from; `None` while this box's own calls to the store fail.
     pub update_origin: Cell<Option<UpdateOrigin>>,
-    /// Upstreams.
+    /// Known upstreams.
     pub upstreams: RefCell<Registry>,
-    /// Shared stores of KV cache.
+    /// Shared KV cache stores.
     pub cache_stores: RefCell<CacheStores>,
-    /// Versions of each model's weights that were named.
+    /// Released versions of each model's weights.
     pub weights: RefCell<BTreeMap<String, History>>,
-    /// Everything that the store holds.
+    /// Local copy of all items of the store.
     pub mirror: RefCell<Mirror>,
-    /// Items that the boxes keep in the store.
+    /// Items that the boxes themselves write to the store, by key.
     pub box_items: RefCell<BTreeMap<String, Change>>,
     /// Port for messages between boxes and for transfers.
     pub peer_port: OnceCell<u16>,
-    /// When the own address was last written to the store.
+    /// When this box's address was last written to the store.
     pub address_written: Cell<Option<Moment>>,
     /// Whether addresses of boxes have changed since the list was last updated.
     pub addresses_changed: Cell<bool>,
     /// Boxes that may be alive.
     pub book: RefCell<Book>,
-    /// Time of the way to other boxes.
+    /// Round-trip times to other boxes.
     pub round_trips: RoundTrips,
-    /// Places that this box asks other boxes for.
+    /// Reservations that this box requests from the boxes that track the engines' loads.
     pub accounts: Accounts,
-    /// Data halls that this box can't connect to.
+    /// Which data halls this box can connect to.
     pub hall_reachability: RefCell<Reach>,
-    /// Boxes that reach each other.
+    /// Which boxes can reach each other.
     pub reachability: RefCell<Reachability>,
-    /// Customers' limits.
+    /// Quotas of customers.
     pub quotas: Quotas,
     /// Rate limits of upstreams.
     pub rate_limits: RateLimits,
-    /// Signals of upstreams that this version doesn't know.
+    /// Upstream signals that this version doesn't support.
     pub unknown_signals: UnknownSignals,
-    /// Requests that end engines.
+    /// Requests that crash engines.
     pub quarantine: Quarantine,
     /// Status of the other boxes.
     pub loads: RefCell<Loads>,
-    /// Loads of weights that are about to be published.
+    /// Weight loads that wait to be published in one message.
     pub gathered: RefCell<Gathered>,
-    /// What is to be broadcast at once.
+    /// State changes to broadcast without delay.
     pub notices: RefCell<Notices>,
-    /// Latest changes of the store, for other boxes.
+    /// Latest changes of the store, from which other boxes are served.
     pub change_log: RefCell<Log>,
-    /// News that another box is asked for.
+    /// Updates that this box has requested from another box.
     pub relayed: Relayed,
     /// Transfers to other boxes.
     pub transfers: Transfers,
     /// Retry budget of each service.
     pub retry_budgets: RefCell<HashMap<id::Service, Budget>>,
-    /// Reading speed of each service's engines.
+    /// Measured prefill rate of each service's engines.
     pub prefill_rates: RefCell<HashMap<id::Service, Pace>>,
-    /// Bytes of request bodies held.
+    /// Bytes of request bodies held in memory.
     pub held_body_bytes: Cell<usize>,
     /// The clock.
     pub clock: Clock,
 }
 
-/// What a box is made of.
+/// Platform-specific components that a box is built from.
 pub struct Components {
     /// Settings.
     pub settings: Settings,
@@ -149,7 +149,7 @@
 }
 
 impl Core {
-    /// Puts the parts of a box together.
+    /// Creates the state of a box that has just started.
     pub fn new(components: Components) -> Shared {
         Rc::new(Self {
             settings: components.settings,
@@ -197,36 +197,36 @@
         })
     }
 
-    /// Time since the start, with that in which the machine was suspended.
+    /// Returns the time since the start, including time in which the machine was suspended.
     pub fn now(&self) -> Moment {
         self.clock.now()
     }
 
-    /// Age of what the box knows; `None` when it knows nothing.
+    /// Returns the age of the state; `None` before the first update.
     pub fn state_age(&self) -> Option<Duration> {
         self.verified_at.get().map(|at| self.now().saturating_sub(at))
     }
 
-    /// Time for which the own path to the store has shown nothing; `None` when it never has.
+    /// Returns the age of the state without updates that other boxes passed on; `None` before the first one.
     pub fn direct_state_age(&self) -> Option<Duration> {
         self.verified_directly_at
             .get()
             .map(|at| self.now().saturating_sub(at))
     }
 
-    /// Silence of the store in which no entry of an upstream lapses.
+    /// Returns the longest outage of the store in which no entry of an upstream expires.
     pub fn tolerated_outage(&self) -> Duration {
         outage::harmless(self.settings.bounds.heartbeat_interval)
     }
 
-    /// Takes a span in which the store answered this box or another one.
+    /// Records a span in which the store answered this box or another one.
     pub fn note_store_seen(&self, span: Span) {
         let known = Span::join(self.store_uptime.get(), span, self.tolerated_outage());
         self.store_uptime.set(Some(known));
     }
 
-    /// Returns whether an instance still accepts a request that was placed there: its signals may have changed
-    /// since it was chosen and the permit was acquired.
+    /// Returns whether an instance still accepts a request: its signals may have changed since it was selected
+    /// and the permit was acquired.
     pub fn accepts_requests(&self, instance: &Instance, permit: Permit) -> bool {
         let upstreams = self.upstreams.borrow();
         upstreams.instance(instance).is_some_and(|upstream| {
@@ -235,22 +235,22 @@
         })
     }
 
-    /// Whether the box knows what the store holds, however old that may be.
+    /// Returns whether the box has received the store's state, however old it may be.
     pub fn has_store_state(&self) -> bool {
         self.change_log.borrow().revision() != Revision::default()
     }
 
-    /// Returns whether it takes several calls to read all that the store holds.
+    /// Returns whether a full read of the store takes several calls.
     pub fn is_store_paged(&self) -> bool {
         self.mirror.borrow().len() > self.store.max_page_items()
     }
 
-    /// Era of the store by the last update.
+    /// Returns the era of the store as of the last update.
     pub fn era(&self) -> Era {
         self.change_log.borrow().revision().era
     }
 
-    /// The last restore of the store, while what it has lost may not be written again.
+    /// Returns the last restore of the store while the items lost in it may not have been written again.
     pub fn recent_restore(&self) -> Option<Restore> {
         let now = self.now();
         let restore = self
@@ -260,16 +260,17 @@
         restore.filter(|restore| !self.is_settled(restore.era))
     }
 
-    /// Notes that the store has been restored.
+    /// Records that the store has been restored.
     pub fn note_restore(&self, era: Era) {
         self.last_restore.set(Some(Restore {
             era,
             noticed_at: self.now(),
-            verified_at: self.keys_proven(),
+            verified_at: self.keys_verified_at(),
         }));
     }
 
-    /// Notes the first answer of the store, which may have been restored right before.
+    /// Records the first answer of the store. A store with an era above 0 may have been restored right before
+    /// this box started, so it counts as a restore unless the whole system starts for the first time.
     pub fn note_first_answer(&self, era: Era) {
         let may_be_restored = era > 0 && !self.settings.is_first_start;
         if may_be_restored {
@@ -281,41 +282,41 @@
         }
     }
 
-    /// Returns whether everything has been written again since the restore that began an era.
+    /// Returns whether all lost items have been written again since the restore that began an era.
     pub fn is_settled(&self, era: Era) -> bool {
         self.settled_era.get() >= Some(era)
     }
 
-    /// Age of what the box knows of keys; `None` when it knows nothing.
+    /// Returns the age of the state as far as it proves that keys are valid; `None` if nothing proves it.
     pub fn key_age(&self) -> Option<Duration> {
-        self.keys_proven().map(|at| self.now().saturating_sub(at))
+        self.keys_verified_at().map(|at| self.now().saturating_sub(at))
     }
 
-    /// When what the box knows of keys was last proven. What a restored store showed before everything was
-    /// written again doesn't prove that a key still holds: it may lack the revocation.
-    fn keys_proven(&self) -> Option<Moment> {
-        let proven = self.verified_at.get();
+    /// Returns when keys were last verified. State read from a restored store before all lost items were
+    /// written again doesn't prove that a key is valid: the key's revocation may be among the lost items.
+    fn keys_verified_at(&self) -> Option<Moment> {
+        let verified_at = self.verified_at.get();
         match self.last_restore.get() {
-            Some(restore) if !self.is_settled(restore.era) && proven < Some(restore.settles_at()) => {
+            Some(restore) if !self.is_settled(restore.era) && verified_at < Some(restore.settles_at()) => {
                 restore.verified_at
             }
-            _ => proven,
+            _ => verified_at,
         }
     }
 
-    /// Configuration in force.
+    /// Returns the active configuration; `None` before the first one is received.
     pub fn configuration(&self) -> Option<Rc<Configuration>> {
         self.configuration.borrow().clone()
     }
 
-    /// Counts a new request of a service.
+    /// Adds a new request to the retry budget of its service.
     pub fn count_request(&self, service: &str) {
         let mut budgets = self.retry_budgets.borrow_mut();
         let budget = budgets.entry(service.to_owned()).or_default();
         budget.request(self.now(), self.settings.bounds.retry_window);
     }
 
-    /// Takes one send beyond the first from a service's budget.
+    /// Takes one retry from a service's budget; returns whether it is granted.
     pub fn take_retry(&self, service: &str) -> bool {
         let bounds = &self.settings.bounds;
         let bound = Bound {
--- a/crates/jb-relay/src/lib.rs
+++ b/crates/jb-relay/src/lib.rs
@@ -1,8 +1,8 @@
-//! The opaque request path of junctionbend.
+//! The relay of junctionbend: forwards requests without reading their bodies.
 //!
-//! A request passes through byte for byte; its facts (route, customer, prompt
-//! parts, deadline) travel beside it. This crate knows its platform only by
-//! [`port`] and [`header_names`]; the decisions are in `jb-policy`.
+//! A body passes through byte for byte; route, customer, prompt segments and deadline are taken from the
+//! head. This crate depends on the platform only through [`port`] and [`header_names`]; the decisions are
+//! in `jb-policy`.
 
 pub mod accept;
 pub mod admission;
--- a/crates/jb-relay/src/port.rs
+++ b/crates/jb-relay/src/port.rs
@@ -1,4 +1,4 @@
-//! Ports: what the relay needs of a platform, in the relay's own words.
+//! Interfaces that a platform adapter implements for the relay: its store and the control calls to engines.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,20 +12,20 @@
 
 use crate::configuration::Configuration;
 
-/// Number of times that the store has been restored from a copy.
+/// Number of times that the store has been restored from a backup.
 pub type Era = u64;
-/// Revision of the platform's store. A restored store gives the numbers of lost revisions out again, so a
-/// revision of a later era is later, whatever its number.
+/// Revision of the platform's store. A restored store reuses the numbers of lost revisions, so a revision of a
+/// later era is later whatever its number is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Revision {
-    /// Era in which it was read.
+    /// Era of the store.
     pub era: Era,
-    /// Number of changes before it, and itself.
+    /// Number of changes up to and including this one.
     pub number: u64,
 }
 
 impl Revision {
-    /// Returns the revision before all others of its era.
+    /// Returns the revision before all others of an era.
     pub fn start_of(era: Era) -> Self {
         Self { era, number: 0 }
     }
@@ -37,15 +37,15 @@
     }
 }
 
-/// Bits of a fencing token for the number of a revision; its era stands above them.
+/// Low bits of a fencing token that hold the revision number; the era is in the bits above.
 const NUMBER_BITS: u32 = 40;
 
-/// Lease of the platform's store. It ends with its era, as its number may be given out again.
+/// Lease of the platform's store. It ends with its era, as its number may be reused after a restore.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// Era in which it was taken out.
+    /// Era in which it was granted.
     pub era: Era,
-    /// Number.
+    /// Id of the lease within its era.
     pub number: u64,
 }
 
@@ -55,176 +55,175 @@
     }
 }
 
-/// Start of an upstream, in milliseconds since the Unix epoch.
+/// Start time of an upstream, in milliseconds since the Unix epoch.
 pub type StartTime = u64;
 
 /// Registration of an upstream in the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Registration {
-    /// Its entry.
+    /// A valid entry.
     Entry(Entry),
-    /// Something that names no upstream to use; what is wrong with it.
+    /// An entry that can't be used; the reason.
     Unreadable(String),
-    /// Its entry has gone.
+    /// The entry was deleted.
     Gone,
 }
 
 /// Entry of an upstream in the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// When it started; `None` on a platform whose upstreams do not say so.
+    /// Start time; `None` on a platform whose upstreams don't report it.
     pub started_at: Option<StartTime>,
-    /// Service.
+    /// Service that the upstream belongs to.
     pub service: id::Service,
-    /// Address.
+    /// Address that requests are sent to.
     pub address: SocketAddr,
-    /// Data hall.
+    /// Data hall that the upstream is in.
     pub hall: id::Hall,
-    /// Requests that it works on at once.
+    /// Number of requests that the upstream processes concurrently.
     pub slots: u32,
-    /// Whether it is about to end; its own answers may say so before the store does.
+    /// Whether the upstream drains; its own responses may say so before the store does.
     pub draining: bool,
-    /// Time for which it is slow after its start.
+    /// Remaining time for which the upstream is slow after its start.
     pub warm_up: Duration,
-    /// Models with the version of their weights.
+    /// Loaded models.
     pub models: Vec<LoadedModel>,
 }
 
 impl Entry {
-    /// Version of a model's weights.
+    /// Returns the version of a model's weights; `None` if the model isn't loaded.
     pub fn weights(&self, model: &str) -> Option<u64> {
         let found = self.models.iter().find(|loaded| loaded.model == model);
         found.map(|loaded| loaded.version)
     }
 }
 
-/// A model as an engine has it.
+/// A model that an engine has loaded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadedModel {
-    /// Model.
+    /// Name of the model.
     pub model: String,
     /// Version of its weights.
     pub version: u64,
 }
 
-/// One thing that the store holds.
+/// Decoded value of an item of the store.
 #[derive(Clone, Debug)]
 pub enum DecodedItem {
     /// The configuration.
     Configuration(Box<Configuration>),
-    /// Word of an upstream, by its id.
+    /// Registration of an upstream, by its id.
     Upstream(String, Registration),
-    /// The newest version of a model's weights.
+    /// Newest version of a model's weights.
     Weights(LoadedModel),
-    /// An item of the boxes themselves.
+    /// An item that the boxes themselves write.
     BoxItem(Change),
-    /// A value that could not be read; the one before stays in force.
+    /// A value that can't be decoded; the previous value stays active.
     Unreadable {
-        /// Key.
+        /// Key of the item.
         key: String,
-        /// What is wrong with it.
+        /// What is wrong with the value.
         why: String,
     },
 }
 
-/// An item as it was written, or its going.
+/// A write or a deletion of an item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Key.
+    /// Key of the item.
     pub key: String,
-    /// Value; `None` when it has gone.
+    /// New value; `None` if the item was deleted.
     pub value: Option<Bytes>,
     /// Revision of the change.
     pub revision: Revision,
 }
 
-/// What has changed in the store, or all that it holds.
+/// Changes of the store since a revision, or all its items.
 #[derive(Debug)]
 pub struct ChangeBatch {
-    /// Changes, the older first.
+    /// Changes, oldest first.
     pub changes: Vec<Change>,
-    /// Revision after which to ask next.
+    /// Revision from which the next call continues.
     pub revision: Revision,
 }
 
-/// A page of what the store holds.
+/// One page of the items of the store.
 #[derive(Debug)]
 pub struct Page {
     /// Items, in the order of their keys.
     pub changes: Vec<Change>,
     /// Revision of the store.
     pub revision: Revision,
-    /// Key after which the next page begins; `None` on the last one.
+    /// Key after which the next page begins; `None` on the last page.
     pub next: Option<String>,
 }
 
-/// Why a call to the store gave nothing.
+/// Error of a call to the store or to an engine.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The history that was asked for is gone; read all again.
-    #[error("the history is gone")]
+    /// The requested history was compacted; all items have to be read again.
+    #[error("the requested history has been compacted")]
     HistoryGone,
-    /// The store has been restored from a copy since the revision that the call refers to; read all again.
-    #[error("the store has been restored from a copy")]
+    /// The store has been restored since the revision that the call refers to; all items have to be read again.
+    #[error("the store has been restored from a backup")]
     Restored,
-    /// The condition of a write does not hold.
-    #[error("the condition does not hold")]
+    /// The condition of a write isn't met.
+    #[error("the condition of the write is not met")]
     Conflict,
-    /// There is no such lease.
-    #[error("no such lease")]
+    /// The lease doesn't exist.
+    #[error("the lease does not exist")]
     NoLease,
-    /// The store turned the call away; nothing was done.
-    #[error("the store refused with status {0}")]
+    /// The call was rejected with this status and not executed.
+    #[error("the call was rejected with status {0}")]
     Refused(u16),
-    /// The answer makes no sense.
-    #[error("the answer cannot be read: {0}")]
+    /// The response can't be parsed.
+    #[error("the response cannot be parsed: {0}")]
     Unreadable(String),
-    /// No answer in time, or none at all; the call may have been done.
-    #[error("no answer: {0}")]
+    /// No response; the call may have been executed.
+    #[error("no response: {0}")]
     Lost(String),
 }
 
-/// A write under a condition.
+/// A conditional write of one item.
 #[derive(Clone, Debug)]
 pub struct Write {
-    /// Key.
+    /// Key of the item.
     pub key: String,
-    /// Value.
+    /// New value.
     pub value: Bytes,
-    /// Revision that the key must have; `None` when it must not be there.
+    /// Revision that the key must have; `None` if the key must not exist.
     pub expected: Option<Revision>,
-    /// Lease that the key goes with.
+    /// Lease with which the key expires.
     pub lease: Option<Lease>,
 }
 
-/// How old what is read may be.
+/// Consistency of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// As it stands now.
+    /// The current state.
     Fresh,
-    /// Some seconds old; costs a tenth and does not count for the store's rate.
+    /// A state that may be some seconds old. Costs a tenth, and doesn't count against the store's rate limit.
     Stale,
 }
 
 /// The platform's store.
 #[async_trait(?Send)]
 pub trait Store {
-    /// Content of a change.
+    /// Decodes a change.
     fn decode(&self, change: &Change) -> DecodedItem;
-    /// Id of the upstream whose entry has changed, if it is one's.
+    /// Returns the id of the upstream whose entry has changed; `None` for other items.
     fn upstream_id<'a>(&self, change: &'a Change) -> Option<&'a str>;
-    /// Items of a page, at the most.
+    /// Returns the maximum number of items in a page.
     fn max_page_items(&self) -> usize;
-    /// A page of the items whose keys begin with a prefix, as they are or, at less cost, were some seconds ago;
-    /// the first one where `after` names no key.
+    /// Reads a page of the items whose keys begin with a prefix: those after the key `after`, or the first page.
     async fn page(
         &self,
         prefix: &str,
         after: Option<&str>,
         consistency: Consistency,
     ) -> Result<Page, StoreError>;
-    /// All items whose keys begin with a prefix. Pages may be of different ages: the revision is that of the
-    /// oldest, after which changes are asked for again. [`StoreError::Restored`] when they are of two eras.
+    /// Reads all items whose keys begin with a prefix. Pages may be of different ages: the returned revision is
+    /// the oldest one, so later changes are read again. [`StoreError::Restored`] if the pages are of two eras.
     async fn items(&self, prefix: &str, consistency: Consistency) -> Result<ChangeBatch, StoreError> {
         let Page {
             mut changes,
@@ -242,24 +241,24 @@
         }
         Ok(ChangeBatch { changes, revision })
     }
-    /// All that it holds.
+    /// Reads all items.
     async fn all_items(&self, consistency: Consistency) -> Result<ChangeBatch, StoreError> {
         self.items("", consistency).await
     }
-    /// What has changed after a revision; waits up to `wait` for something.
+    /// Returns the changes after a revision; waits up to `wait` for the first one.
     async fn changes(&self, after: Revision, wait: Duration) -> Result<ChangeBatch, StoreError>;
-    /// Takes out a lease.
+    /// Creates a lease that expires after `time` unless it is renewed.
     async fn grant_lease(&self, time: Duration) -> Result<Lease, StoreError>;
-    /// Renews a lease; [`StoreError::NoLease`] also when the store has been restored since.
+    /// Renews a lease; [`StoreError::NoLease`] also if the store has been restored since it was granted.
     async fn renew_lease(&self, lease: Lease) -> Result<(), StoreError>;
-    /// Ends a lease; its keys go with it.
+    /// Revokes a lease and deletes its keys.
     async fn revoke_lease(&self, lease: Lease) -> Result<(), StoreError>;
-    /// Writes all items or none. [`StoreError::Restored`] when the store isn't in the given era: what the
-    /// caller knows may then be lost, whether or not the items were written.
+    /// Writes all items or none. [`StoreError::Restored`] if the store isn't in the given era: the state that the
+    /// caller relied on may then be lost, whether or not the items were written.
     async fn write(&self, era: Era, writes: &[Write]) -> Result<Revision, StoreError>;
 }
 
-/// Tries for each page after the first; without them a single late answer would cost all pages before.
+/// Attempts for each page after the first. Without retries, a single late response would discard all earlier pages.
 const MAX_PAGE_ATTEMPTS: usize = 3;
 
 async fn page_with_retries<S: Store + ?Sized>(
@@ -277,67 +276,67 @@
     store.page(prefix, Some(after), consistency).await
 }
 
-/// What an engine reports of itself.
+/// Status report of an engine.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// When the engine started, if that is known.
+    /// Start time of the engine, if known.
     pub started_at: Option<StartTime>,
-    /// Models with the version of their weights.
+    /// Loaded models.
     pub models: Vec<LoadedModel>,
-    /// Whether an order is under way.
+    /// Whether the engine is executing an order.
     pub busy: bool,
-    /// Orders taken since its start.
+    /// Number of orders accepted since the start.
     pub orders_taken: u64,
 }
 
-/// An order to load other weights. Streams that run there are reset; the boxes go on with
-/// them at other engines where they can.
+/// An order to load other weights. The engine resets its running streams; the boxes resume them at other engines
+/// where possible.
 #[derive(Clone, Debug)]
 pub struct Order {
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Version wanted.
+    /// Version to load.
     pub version: u64,
-    /// Box that gives it.
+    /// Box that issues the order.
     pub issuer: id::Box,
     /// Fencing token.
     pub fence: id::Fence,
-    /// Orders that the engine must have taken before.
+    /// Number of orders that the engine must have accepted before this one.
     pub expected_orders: u64,
 }
 
-/// How an engine answered an order.
+/// Response of an engine to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It is being done.
+    /// The engine has started to load the weights.
     Started,
-    /// It holds already.
+    /// The engine already has the weights.
     Holds,
-    /// Another order came first, or is under way.
+    /// Another order was accepted first, or is being executed.
     Conflict,
-    /// It was refused for good.
+    /// The engine rejected the order permanently, with this status.
     Refused(u16),
 }
 
-/// A part of a prompt that an engine keeps.
+/// A prompt segment that an engine has cached.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CachedSegment {
     /// Salt under which it is cached.
     pub salt: String,
-    /// Id as callers name it.
+    /// Id from the caller's request.
     pub id: String,
-    /// Tokens of it that are cached.
+    /// Number of its tokens that are cached.
     pub tokens: u64,
-    /// Model.
+    /// Model that it was computed with.
     pub model: String,
 }
 
-/// What an engine keeps of prompts.
+/// Contents of an engine's prefix cache.
 #[derive(Clone, Debug, Default)]
 pub struct CacheContents {
-    /// When it started, if that is known.
+    /// Start time of the engine, if known.
     pub started_at: Option<StartTime>,
-    /// Parts.
+    /// Cached segments.
     pub segments: Vec<CachedSegment>,
 }
 
@@ -347,10 +346,10 @@
 /// Control calls to model engines.
 #[async_trait(?Send)]
 pub trait Engines {
-    /// Asks what the engine keeps of prompts.
+    /// Reads the contents of the engine's prefix cache.
     async fn cache_contents(&self, address: SocketAddr) -> Observed<CacheContents>;
-    /// Asks for the engine's report.
+    /// Reads the engine's status report.
     async fn report(&self, address: SocketAddr) -> Observed<Report>;
-    /// Gives an order to an incarnation of an engine.
+    /// Sends an order to an incarnation of an engine.
     async fn order(&self, address: SocketAddr, incarnation: &str, order: &Order) -> Observed<OrderOutcome>;
 }
