--- a/crates/jb-relay/src/admission.rs
+++ b/crates/jb-relay/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: what a request is, who sent it, and what it may do.
+//! Admission of requests: routing, authentication, and the properties taken from the head.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,66 +13,66 @@
 use crate::http::Query;
 use crate::salt;
 
-/// Part of the bound on keys after which a box without updates refuses them;
-/// the rest covers requests that are on their way to an engine.
-const REVOKE_SHARE: f64 = 0.85;
-/// Tokens out of a request that does not say how many it wants.
-const DEFAULT_OUT: u64 = 64;
-/// Salt of everything that customers may share.
+/// Part of the maximum revocation delay after which a box without updates rejects keys; the rest covers requests
+/// that are on their way to an engine.
+const KEY_AGE_SHARE: f64 = 0.85;
+/// Output tokens assumed for a request that states no maximum.
+const DEFAULT_OUTPUT_TOKENS: u64 = 64;
+/// Cache salt of customers that share cached segments.
 const SHARED_SALT: &str = "shared";
 
-/// A request that was let in.
+/// A request that passed admission.
 #[derive(Debug)]
 pub struct AdmittedRequest {
-    /// Id that the caller gave.
+    /// Id set by the caller.
     pub id: String,
-    /// Configuration that it was judged by.
+    /// Configuration that was active at admission.
     pub configuration: Rc<Configuration>,
-    /// Its route.
+    /// Route that it matched.
     pub route: Route,
-    /// Its service.
+    /// Service that it is sent to.
     pub service: id::Service,
-    /// Its customer; `None` on public routes.
+    /// Customer that sent it; `None` on public routes.
     pub customer: Option<id::Customer>,
-    /// What it counts for in its customer's limit; `None` where there is no limit.
+    /// Units charged to the customer's quota; `None` without a quota.
     pub quota_cost: Option<u64>,
-    /// Text under which engines keep its prompt.
+    /// Salt under which engines cache its prompt, without the weights version.
     pub cache_salt: String,
-    /// Urgency at an engine, 0 first.
+    /// Priority at an engine, 0 to 9; 0 is the most urgent.
     pub urgency: u8,
-    /// Model that it names.
+    /// Requested model.
     pub model: Option<String>,
-    /// Parts of its prompt.
+    /// Segments of its prompt.
     pub prompt: Vec<Segment>,
-    /// Most tokens out.
+    /// Upper bound on output tokens.
     pub max_output_tokens: u64,
-    /// When its head had come.
+    /// When its head had been received.
     pub arrived_at: Moment,
-    /// When it must be answered: the deadline, or the route's time-out before it.
+    /// When it must be answered: the caller's deadline, or the route's timeout if that is earlier.
     pub deadline: Moment,
 }
 
-/// Why a request is not let in. None of these has run.
+/// Why a request is rejected at admission. It has not been sent to any upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It names no id.
+    /// The request has no id.
     NoId,
-    /// The box knows no configuration yet.
+    /// The box has no configuration yet.
     NotReady,
-    /// What the box knows is too old to decide whether the key still holds.
+    /// The box's state is too old to decide whether the key is valid.
     Stale,
-    /// There is no such route.
+    /// No route matches.
     NoRoute,
-    /// The key is not known.
+    /// The key is missing or unknown.
     NoKey,
-    /// The route leads to no service.
+    /// The route has no service.
     NoService,
-    /// Its body does not fit into the box's memory now.
+    /// The body doesn't fit into the memory that is left for bodies.
     NoRoom,
 }
 
 impl Refusal {
-    /// Status of the answer.
+    /// Returns the status of the response.
     pub fn status(self) -> u16 {
         match self {
             Self::NoId => 400,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Name for logs and metrics.
+    /// Returns the name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::NoId => "no_id",
@@ -96,10 +96,10 @@
     }
 }
 
-/// Judges a request by what is in force.
+/// Admits a request under the active configuration.
 ///
 /// # Errors
-/// The refusal.
+/// Why the request is rejected.
 pub fn admit(core: &Core, query: &Query, arrived: Moment) -> Result<AdmittedRequest, Refusal> {
     let names = &core.header_names;
     let id = query
@@ -109,20 +109,20 @@
         .ok_or(Refusal::NoId)?;
     let configuration = core.configuration().ok_or(Refusal::NotReady)?;
     let age = core.state_age().ok_or(Refusal::NotReady)?;
-    // What is missing here may be in a configuration that this box doesn't have yet.
-    let unsure = age > core.settings.bounds.max_config_delay;
-    let missing = |refusal: Refusal| if unsure { Refusal::Stale } else { refusal };
+    // A route or key that is unknown here may be in a newer configuration that this box hasn't received yet.
+    let may_be_outdated = age > core.settings.bounds.max_config_delay;
+    let if_up_to_date = |refusal: Refusal| if may_be_outdated { Refusal::Stale } else { refusal };
 
     let host = query.headers.text("host").unwrap_or_default();
     let path = std::str::from_utf8(query.path()).unwrap_or_default();
     let route = configuration
         .route(host, path)
-        .ok_or(missing(Refusal::NoRoute))?
+        .ok_or(if_up_to_date(Refusal::NoRoute))?
         .clone();
     let mut customer = None;
     if !route.public && configuration.requires_keys() {
-        let oldest = core.settings.bounds.max_revocation_delay.mul_f64(REVOKE_SHARE);
-        if core.settings.bounds.strict_revocation && core.key_age().is_none_or(|age| age > oldest) {
+        let max_key_age = core.settings.bounds.max_revocation_delay.mul_f64(KEY_AGE_SHARE);
+        if core.settings.bounds.strict_revocation && core.key_age().is_none_or(|age| age > max_key_age) {
             return Err(Refusal::Stale);
         }
         let key = query
@@ -133,7 +133,7 @@
         customer = Some(
             configuration
                 .customer_by_key(key)
-                .ok_or(missing(Refusal::NoKey))?
+                .ok_or(if_up_to_date(Refusal::NoKey))?
                 .clone(),
         );
     }
@@ -146,7 +146,7 @@
         Some(customer) if customer.has_isolated_cache => format!("of {}", customer.name),
         _ => SHARED_SALT.to_owned(),
     };
-    let rank = customer
+    let priority = customer
         .as_ref()
         .and_then(|c| c.priority)
         .unwrap_or(route.priority);
@@ -154,12 +154,15 @@
     let deadline = arrived + wait.unwrap_or(route.timeout);
     let until = deadline.min(arrived + route.timeout);
     let model = query.headers.text(names.model).map(str::to_owned);
-    let prompt = parts(
+    let prompt = parse_segments(
         query.headers.text(names.prompt_segments).unwrap_or_default(),
         &cache_salt,
     );
-    let size = query.headers.text(names.token_counts).and_then(sizes);
-    let max_output_tokens = size.map_or(DEFAULT_OUT, |(_, out)| out);
+    let size = query
+        .headers
+        .text(names.token_counts)
+        .and_then(parse_token_counts);
+    let max_output_tokens = size.map_or(DEFAULT_OUTPUT_TOKENS, |(_, out)| out);
     let quota = customer.as_ref().and_then(|customer| customer.quota);
     let quota_cost = quota.map(|quota| match quota.unit {
         QuotaUnit::Requests => 1,
@@ -171,7 +174,7 @@
         customer: customer.map(|c| c.name),
         quota_cost,
         cache_salt,
-        urgency: rank.min(9),
+        urgency: priority.min(9),
         model,
         prompt,
         max_output_tokens,
@@ -187,14 +190,14 @@
     scheme.eq_ignore_ascii_case("bearer").then(|| key.trim())
 }
 
-/// Tokens in and most tokens out, as `IN,OUT`.
-fn sizes(text: &str) -> Option<(u64, u64)> {
+/// Parses the prompt tokens and the maximum output tokens, as `IN,OUT`.
+fn parse_token_counts(text: &str) -> Option<(u64, u64)> {
     let (read, made) = text.split_once(',')?;
     Some((read.trim().parse().ok()?, made.trim().parse().ok()?))
 }
 
-/// Parts of a prompt as `ID:TOKENS,...`; what does not read as a part ends the list.
-fn parts(text: &str, salt: &str) -> Vec<Segment> {
+/// Parses the segments of a prompt, as `ID:TOKENS,...`. The first malformed segment ends the list.
+fn parse_segments(text: &str, salt: &str) -> Vec<Segment> {
     let segment = |part: &str| {
         let (id, tokens) = part.trim().split_once(':')?;
         Some(Segment {
@@ -206,7 +209,7 @@
 }
 
 impl AdmittedRequest {
-    /// Tokens of the prompt.
+    /// Returns the number of tokens of the prompt.
     pub fn prompt_tokens(&self) -> u64 {
         self.prompt.iter().map(|segment| segment.tokens).sum()
     }
--- a/crates/jb-relay/src/attempt.rs
+++ b/crates/jb-relay/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one upstream, up to the head of its answer.
+//! One attempt to send a request to an upstream, up to the head of the response.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,61 +18,61 @@
 use crate::unknown_signals;
 use crate::upstream::Instance;
 
-/// Largest response head, in bytes.
+/// Upper bound on a response head.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// Responses to other requests that are skipped before the own one.
-const MAX_FOREIGN: u32 = 4;
-/// Largest response to another request that is skipped, in bytes.
-const MAX_FOREIGN_BYTES: usize = 256 * 1024;
-/// Part of the remaining time that is reserved for the way of the response back.
+/// Responses to earlier requests that are skipped before the one to this request.
+const MAX_SKIPPED_RESPONSES: u32 = 4;
+/// Upper bound on the body of a skipped response.
+const MAX_SKIPPED_BODY_BYTES: usize = 256 * 1024;
+/// Part of the remaining time that is reserved for the way of the response back to the caller.
 const RETURN_LATENCY: Duration = Duration::from_millis(5);
 
-/// What a send came to.
+/// Result of an attempt.
 pub enum AttemptOutcome {
-    /// Nothing was sent.
+    /// Nothing was sent; the reason.
     Unsent(String),
-    /// Nothing was sent, as the upstream drains, backs off or is limited by now.
+    /// Nothing was sent, as the upstream has begun to drain, back off or limit its rate since it was selected.
     Withdrawn,
-    /// The upstream hasn't run the request.
+    /// The upstream rejected the request without executing it; the status.
     NotRun(u16),
-    /// The request may have run; nothing of an answer can be used.
+    /// The request may have been executed, and there is no usable response; the reason.
     Failed(String),
-    /// An answer of the upstream to this request.
+    /// The upstream's response.
     Answered(Box<Reply>),
 }
 
-/// An answer with the connection that its body comes on.
+/// A response head with the connection from which the body is read.
 pub struct Reply {
-    /// Head.
+    /// Response head.
     pub answer: Answer,
-    /// Body.
+    /// State of the body's decoder.
     pub body: Body,
-    /// Connection.
+    /// Connection that the body is read from.
     pub pooled: PooledConnection,
-    /// Whether the connection may be reused afterwards.
+    /// Whether the connection may be reused after the body.
     pub reusable: bool,
-    /// Idle time after which the upstream closes the connection.
+    /// Idle time after which the upstream closes the connection, if it states one.
     pub keep_alive_timeout: Option<Duration>,
 }
 
-/// A request with its body, ready to be sent as often as it takes.
+/// A request with its body, which can be sent several times.
 pub struct Message<'a> {
-    /// Head.
+    /// Request head from the caller.
     pub head: &'a Query,
-    /// Body.
+    /// Whole request body.
     pub body: &'a Bytes,
-    /// Its facts.
+    /// Properties determined at admission.
     pub request: &'a AdmittedRequest,
-    /// Last event that the caller has, where a stream goes on.
+    /// Last event that the caller has received; set when a stream is resumed.
     pub last_event: Option<u64>,
-    /// Where the engine takes parts of the prompt from that it lacks.
+    /// Engine or cache store from which the engine loads segments that it hasn't cached.
     pub kv_source: Option<SocketAddr>,
-    /// Store that the engine sends the prompt's parts to once they are read.
+    /// Cache store to which the engine writes the prompt's segments after prefill.
     pub kv_target: Option<SocketAddr>,
 }
 
 impl Message<'_> {
-    /// What it asks, as other boxes and later tries of its caller name it.
+    /// Returns the hash of the content, which is the same on other boxes and for the caller's retries.
     pub fn content(&self) -> Content {
         let host = self.head.headers.get("host").unwrap_or_default();
         let caller = self.request.customer.as_deref().unwrap_or_default();
@@ -80,7 +80,7 @@
     }
 }
 
-/// Sends a request and waits for the head of its answer.
+/// Sends a request and waits for the head of the response.
 pub async fn send(
     core: &Shared,
     instance: &Instance,
@@ -93,13 +93,13 @@
         .instance(instance)
         .map(|upstream| upstream.entry.clone());
     let Some(entry) = entry else {
-        return AttemptOutcome::Unsent("the upstream has gone".to_owned());
+        return AttemptOutcome::Unsent("the upstream is no longer registered".to_owned());
     };
     let once = !message.request.route.is_retryable();
     let mut pooled = match pool::checkout(core, instance, once).await {
         Ok(pooled) => pooled,
         Err(why) => {
-            note_unreached(core, &entry, instance, &why);
+            note_connect_timeout(core, &entry, instance, &why);
             return AttemptOutcome::Unsent(why.to_string());
         }
     };
@@ -110,25 +110,25 @@
     let head = head(core, &instance.id, &entry, message);
     let mut reusable = true;
     let sent = core.now();
-    match exchange(&mut pooled, &head, message.body, &mut reusable).await {
+    match write_request(&mut pooled, &head, message.body, &mut reusable).await {
         Ok(()) => {}
         Err(why) => return AttemptOutcome::Failed(why.to_string()),
     }
-    match own_answer(core, instance, &mut pooled, message.request, sent, &mut reusable).await {
+    match read_response(core, instance, &mut pooled, message.request, sent, &mut reusable).await {
         Ok((answer, head)) => {
             if entry.hall != core.settings.hall {
                 core.hall_reachability
                     .borrow_mut()
                     .note_reached(&entry.hall, core.now());
             }
-            judge(core, answer, &head, pooled, reusable).await
+            classify(core, answer, &head, pooled, reusable).await
         }
         Err(why) => AttemptOutcome::Failed(why.to_string()),
     }
 }
 
-/// Notes a connection to another data hall that timed out. A refused one shows that the hall is reachable.
-fn note_unreached(core: &Core, entry: &Entry, instance: &Instance, why: &pool::Error) {
+/// Records a timed-out connection to another data hall. A refused connection shows that the hall is reachable.
+fn note_connect_timeout(core: &Core, entry: &Entry, instance: &Instance, why: &pool::Error) {
     if entry.hall != core.settings.hall && matches!(why, pool::Error::TimedOut(_)) {
         core.hall_reachability
             .borrow_mut()
@@ -136,7 +136,7 @@
     }
 }
 
-/// The head as the upstream gets it.
+/// Builds the request head for the upstream.
 fn head(core: &Core, instance: &str, entry: &Entry, message: &Message<'_>) -> BytesMut {
     let names = &core.header_names;
     let request = message.request;
@@ -147,34 +147,34 @@
         .to_string();
     let urgency = request.urgency.to_string();
     let last = message.last_event.map(|last| last.to_string());
-    let mut own: Vec<(&[u8], &[u8])> = vec![
+    let mut added: Vec<(&[u8], &[u8])> = vec![
         (names.deadline.as_bytes(), left.as_bytes()),
         (names.expected_instance.as_bytes(), instance.as_bytes()),
     ];
     if let Some(customer) = &request.customer {
-        own.push((names.customer.as_bytes(), customer.as_bytes()));
+        added.push((names.customer.as_bytes(), customer.as_bytes()));
     }
-    // The engine confirms the version.
+    // The engine rejects the request if it has another version of the weights.
     let weights = entry.weights(request.model.as_deref().unwrap_or_default());
     let version = weights.map(|version| version.to_string());
     let salt = salt::encode(&request.cache_salt, weights);
     let source = message.kv_source.map(|source| source.to_string());
     let store = message.kv_target.map(|store| store.to_string());
     if let Some(version) = &version {
-        own.push((names.expected_weights.as_bytes(), version.as_bytes()));
-        own.push((names.cache_salt.as_bytes(), salt.as_bytes()));
-        own.push((names.urgency.as_bytes(), urgency.as_bytes()));
+        added.push((names.expected_weights.as_bytes(), version.as_bytes()));
+        added.push((names.cache_salt.as_bytes(), salt.as_bytes()));
+        added.push((names.urgency.as_bytes(), urgency.as_bytes()));
         if let Some(source) = &source {
-            own.push((names.kv_source.as_bytes(), source.as_bytes()));
+            added.push((names.kv_source.as_bytes(), source.as_bytes()));
         }
         if let Some(store) = &store {
-            own.push((names.kv_target.as_bytes(), store.as_bytes()));
+            added.push((names.kv_target.as_bytes(), store.as_bytes()));
         }
     }
     if let Some(last) = &last {
-        own.push((names.last_event.as_bytes(), last.as_bytes()));
+        added.push((names.last_event.as_bytes(), last.as_bytes()));
     }
-    let replaced = |name: &[u8]| {
+    let is_replaced = |name: &[u8]| {
         let reserved = names
             .reserved
             .iter()
@@ -183,8 +183,12 @@
             || name.eq_ignore_ascii_case(names.deadline.as_bytes())
             || (last.is_some() && name.eq_ignore_ascii_case(names.last_event.as_bytes()))
     };
-    let passed = message.head.headers.end_to_end().filter(|h| !replaced(&h.name));
-    let lines = passed.map(|h| (h.name.as_ref(), h.value.as_ref())).chain(own);
+    let passed = message
+        .head
+        .headers
+        .end_to_end()
+        .filter(|h| !is_replaced(&h.name));
+    let lines = passed.map(|h| (h.name.as_ref(), h.value.as_ref())).chain(added);
     let bodiless = message.body.is_empty() && message.head.framing == Framing::Length(0);
     let stated = message.head.headers.get("content-length").is_some();
     let framing = (!bodiless || stated).then(|| Framing::Length(message.body.len() as u64));
@@ -199,8 +203,8 @@
     out
 }
 
-/// Writes the request; stops early when the upstream answers before it has read all.
-async fn exchange(
+/// Writes the request; stops early if the upstream answers before it has read all of it.
+async fn write_request(
     pooled: &mut PooledConnection,
     head: &[u8],
     body: &[u8],
@@ -213,7 +217,7 @@
     tokio::select! {
         biased;
         written = write.write_all(&whole) => {
-            // An upstream may have answered and closed before it read all.
+            // The upstream may have answered and closed the connection before it read the whole request.
             *reusable &= written.is_ok();
         }
         got = read.read(&mut early) => {
@@ -229,7 +233,7 @@
 }
 
 /// Reads responses until the one to this request arrives, and applies the head of each.
-async fn own_answer(
+async fn read_response(
     core: &Core,
     instance: &Instance,
     pooled: &mut PooledConnection,
@@ -237,7 +241,7 @@
     sent: Moment,
     reusable: &mut bool,
 ) -> Result<(Answer, ParsedHead), http::Error> {
-    for _ in 0..MAX_FOREIGN {
+    for _ in 0..MAX_SKIPPED_RESPONSES {
         let answer = pooled.connection.answer(MAX_HEAD_BYTES).await?;
         if answer.status < 200 {
             continue;
@@ -248,21 +252,23 @@
             signal::apply(core, instance, request.model.as_deref(), &head, sent);
             return Ok((answer, head));
         }
-        // An extra answer to an earlier request on this connection.
+        // A late response to an earlier request on this connection.
         signal::apply_late(core, instance, &head);
         *reusable = false;
         if answer.framing == Framing::UntilClose {
-            return Err(http::Error::Malformed("an answer to another request"));
+            return Err(http::Error::Malformed(
+                "response to another request without a length",
+            ));
         }
         pooled
             .connection
-            .whole(Body::new(answer.framing), MAX_FOREIGN_BYTES)
+            .whole(Body::new(answer.framing), MAX_SKIPPED_BODY_BYTES)
             .await?;
     }
-    Err(http::Error::Malformed("too many answers to other requests"))
+    Err(http::Error::Malformed("too many responses to other requests"))
 }
 
-async fn judge(
+async fn classify(
     core: &Shared,
     answer: Answer,
     head: &ParsedHead,
@@ -280,7 +286,11 @@
         }));
     }
     let complete = matches!(body.step(&mut pooled.connection.buffer), Ok(Step::End))
-        || pooled.connection.whole(body, MAX_FOREIGN_BYTES).await.is_ok();
+        || pooled
+            .connection
+            .whole(body, MAX_SKIPPED_BODY_BYTES)
+            .await
+            .is_ok();
     if reusable && complete && answer.keep_alive {
         pool::put_back(core, pooled, head.keep_alive_timeout);
     }
--- a/crates/jb-relay/src/configuration.rs
+++ b/crates/jb-relay/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, compiled for look-up.
+//! The active configuration, indexed for lookups.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,55 +8,55 @@
 use jb_policy::quota::Limit;
 use jb_protocol::id;
 
-/// What may be done again with a request.
+/// How often a request of a route may be executed, and how it is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// May be executed more than once.
     Idempotent,
-    /// Runs at most once.
+    /// Is executed at most once.
     Once,
-    /// Answered by a series of events.
+    /// Answered with a stream of events.
     Stream,
 }
 
-/// Silence before an answer, in wanted times, after which another upstream may be better.
-const PATIENCE: f64 = 1.5;
-/// The same within a stream, in longest wanted pauses.
-const SILENCE: f64 = 2.0;
-/// Least silence that counts, where a route wants no time or names none.
-const LEAST_SILENCE: Duration = Duration::from_millis(100);
+/// Stall timeout before the first response, as a multiple of the target latency.
+const RESPONSE_STALL_FACTOR: f64 = 1.5;
+/// Stall timeout within a stream, as a multiple of the longest acceptable gap between events.
+const STREAM_STALL_FACTOR: f64 = 2.0;
+/// Lower bound on stall timeouts, for routes whose target is zero or not configured.
+const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// One route.
+/// A route: which requests it matches, where they go, and how they are handled.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// Name.
+    /// Name for logs.
     pub name: id::Route,
-    /// Host that it serves.
+    /// Host that it matches.
     pub host: String,
-    /// Beginning of the paths that it serves; begins and ends with a slash.
+    /// Prefix of the paths that it matches; begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be done again.
+    /// Retry semantics.
     pub kind: RouteKind,
-    /// Longest time that a request is held.
+    /// Upper bound on the time to a response.
     pub timeout: Duration,
-    /// Time in which an answer, or a stream's first event, is wanted.
+    /// Target time to a response, or to a stream's first event.
     pub target_latency: Duration,
-    /// Longest pause between a stream's events that is still in time.
+    /// Longest acceptable gap between two events of a stream.
     pub max_event_gap: Duration,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Services with their weights.
+    /// Services that requests are distributed over, by weight.
     pub services: Vec<WeightedService>,
-    /// Upstreams that one request may be sent to.
+    /// Upper bound on the upstreams that may execute one request.
     pub max_attempts: u32,
-    /// Whether it is open without a key.
+    /// Whether requests need no key.
     pub public: bool,
-    /// Whether a stream may go on at another engine.
+    /// Whether a broken stream may be resumed at another engine.
     pub resumable: bool,
 }
 
 impl Route {
-    /// Whether a request that may have run may be sent again.
+    /// Returns whether a request that may have been executed may be sent again.
     pub fn is_retryable(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
@@ -65,17 +65,22 @@
         }
     }
 
-    /// Silence of an upstream before its answer after which the request may go elsewhere.
+    /// Returns the time without a response after which the request may move to another upstream.
     pub fn response_stall_timeout(&self) -> Duration {
-        self.target_latency.mul_f64(PATIENCE).max(LEAST_SILENCE)
+        self.target_latency
+            .mul_f64(RESPONSE_STALL_FACTOR)
+            .max(MIN_STALL_TIMEOUT)
     }
 
-    /// Silence within a stream after which it may go on elsewhere.
+    /// Returns the time without an event after which a stream may be resumed at another upstream.
     pub fn stream_stall_timeout(&self) -> Duration {
-        self.max_event_gap.mul_f64(SILENCE).max(LEAST_SILENCE)
+        self.max_event_gap
+            .mul_f64(STREAM_STALL_FACTOR)
+            .max(MIN_STALL_TIMEOUT)
     }
 
-    /// Service for a request; `draw` is any number, the same for the same request.
+    /// Picks the service of a request by weight; `draw` is a uniform number that is the same for the same request.
+    /// `None` if the weights add up to 0.
     pub fn pick_service(&self, draw: u64) -> Option<&id::Service> {
         let sum: u64 = self.services.iter().map(|s| u64::from(s.weight)).sum();
         let mut at = draw.checked_rem(sum)?;
@@ -90,82 +95,82 @@
     }
 }
 
-/// Share of a route's requests that goes to one service.
+/// A service with its share of a route's requests.
 #[derive(Clone, Debug)]
 pub struct WeightedService {
     /// Service.
     pub service: id::Service,
-    /// Weight among the shares of the route.
+    /// Weight relative to the route's other services.
     pub weight: u32,
 }
 
-/// One service.
+/// Properties of a service's engines.
 #[derive(Clone, Debug, Default)]
 pub struct Service {
-    /// Tokens that the memory of one of its engines holds; 0 for plain services.
+    /// KV cache capacity of one engine; 0 for services without a prefix cache.
     pub kv_capacity_tokens: u64,
-    /// Time in which a link moves a thousand tokens; `None` where it is not known.
+    /// Time to transfer the KV cache of a thousand tokens over a link; `None` if unknown.
     pub transfer_time_per_k_tokens: Option<Duration>,
 }
 
-/// A shared store of KV cache.
+/// A shared KV cache store.
 #[derive(Clone, Debug)]
 pub struct CacheStoreConfig {
     /// Address.
     pub address: SocketAddr,
-    /// Tokens that it holds.
+    /// Capacity of the store, in tokens.
     pub capacity_tokens: u64,
 }
 
-/// One customer.
+/// A customer and how its requests are handled.
 #[derive(Clone, Debug)]
 pub struct Customer {
     /// Name.
     pub name: id::Customer,
-    /// Rank that goes before the route's.
+    /// Priority that overrides the route's.
     pub priority: Option<u8>,
-    /// Whether it shares no cache with other customers.
+    /// Whether it shares no cached segments with other customers.
     pub has_isolated_cache: bool,
-    /// Limit of all its requests together.
+    /// Limit on all its requests together.
     pub quota: Option<Quota>,
 }
 
-/// What a customer's limit counts.
+/// Unit of a customer's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum QuotaUnit {
-    /// Each request once.
+    /// Requests.
     Requests,
-    /// Tokens in and out; requests that name none count for `plain` of them.
+    /// Prompt and output tokens.
     Tokens {
-        /// Tokens of a request that names none.
+        /// Tokens that a request without token counts is charged.
         default: u64,
     },
 }
 
-/// Limit of a customer over all boxes.
+/// Limit on a customer's requests through all boxes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Limit.
+    /// Rate and burst.
     pub limit: Limit,
-    /// What it counts.
+    /// Unit that it counts in.
     pub unit: QuotaUnit,
 }
 
-/// Lower half of the hash of a customer's name, under which boxes speak of it.
+/// Returns the short name of a customer in messages between boxes: the lower half of the hash of its name.
 pub fn short_name(customer: &str) -> u32 {
     place::short(place::name_hash(customer))
 }
 
-/// What callers may send, and how slowly.
+/// Size limits and timeouts for the connections of callers.
 #[derive(Clone, Copy, Debug)]
 pub struct CallerLimits {
-    /// Longest head, in bytes.
+    /// Upper bound on a request head.
     pub max_head_bytes: usize,
-    /// Longest body, in bytes.
+    /// Upper bound on a request body.
     pub max_body_bytes: usize,
-    /// Longest time for a head.
+    /// Time within which a request head must be received.
     pub head_timeout: Duration,
-    /// Longest rest of a connection.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
@@ -180,31 +185,31 @@
     }
 }
 
-/// One whole configuration.
+/// One version of the whole configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Configuration {
-    /// Version; it only rises.
+    /// Version, which only increases.
     pub version: u64,
-    /// Routes of each host, the longest prefix first.
+    /// Routes of each host, longest prefix first.
     hosts: HashMap<String, Vec<Route>>,
-    /// Services.
+    /// Services by name.
     pub services: HashMap<id::Service, Service>,
-    /// Shared stores of KV cache.
+    /// Shared KV cache stores.
     pub cache_stores: Vec<CacheStoreConfig>,
     /// Customers.
     customers: Vec<Customer>,
-    /// Position of the customer of each key.
+    /// Index in `customers` of the customer that holds each key.
     keys: HashMap<String, usize>,
-    /// Position of each customer by its short name.
+    /// Index in `customers` of each customer, by its short name.
     short: HashMap<u32, usize>,
-    /// Limits for callers.
+    /// Limits for callers' connections.
     pub limits: CallerLimits,
-    /// Rank of the most urgent routes.
+    /// Priority of the most urgent routes.
     pub top_priority: u8,
 }
 
 impl Configuration {
-    /// Compiles a configuration.
+    /// Builds the lookup tables of a configuration from its routes and its customers with their keys.
     pub fn new(version: u64, routes: Vec<Route>, customers: Vec<(Customer, Vec<String>)>) -> Self {
         let mut configuration = Self {
             version,
@@ -232,7 +237,7 @@
         configuration
     }
 
-    /// The route of a request, by host and longest prefix.
+    /// Returns the route of a request, by host and longest path prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let name = host
             .rsplit_once(':')
@@ -242,30 +247,31 @@
         routes.iter().find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// The least time that a stream route of a service wants, among those of a rank and above.
-    pub fn min_target_latency(&self, service: &str, rank: u8) -> Option<Duration> {
+    /// Returns the lowest target latency of the stream routes of a service whose priority number is at most `priority`,
+    /// that is of those at least as urgent.
+    pub fn min_target_latency(&self, service: &str, priority: u8) -> Option<Duration> {
         let routes = self.hosts.values().flatten();
-        let streams = routes.filter(|route| route.kind == RouteKind::Stream && route.priority <= rank);
+        let streams = routes.filter(|route| route.kind == RouteKind::Stream && route.priority <= priority);
         let same = streams.filter(|route| route.services.iter().any(|share| share.service == service));
         same.map(|route| route.target_latency).min()
     }
 
-    /// The customer that holds a key.
+    /// Returns the customer that holds a key.
     pub fn customer_by_key(&self, key: &str) -> Option<&Customer> {
         self.customers.get(*self.keys.get(key)?)
     }
 
-    /// The limit of a customer by its short name.
+    /// Returns the quota of a customer by its short name.
     pub fn customer_quota(&self, short: u32) -> Option<Quota> {
         self.customers.get(*self.short.get(&short)?)?.quota
     }
 
-    /// Whether requests need a key at all.
+    /// Returns whether routes that aren't public require a key; without customers they don't.
     pub fn requires_keys(&self) -> bool {
         !self.customers.is_empty()
     }
 
-    /// Number of routes.
+    /// Returns the number of routes.
     pub fn route_count(&self) -> usize {
         self.hosts.values().map(Vec::len).sum()
     }
--- a/crates/jb-relay/src/deliver.rs
+++ b/crates/jb-relay/src/deliver.rs
@@ -1,4 +1,4 @@
-//! Delivery of an upstream's answer to the caller.
+//! Delivery of an upstream's response to the caller.
 
 use std::time::Duration;
 
@@ -13,27 +13,27 @@
 use crate::http::{self, Answer, Connection, Framing, write_answer};
 use crate::pool;
 
-/// Longest answer that is held whole, so that one that breaks off never reaches the caller.
-const LONGEST_WHOLE: usize = 512 * 1024;
-/// The last chunk of a chunked body.
+/// Largest response body that is buffered as a whole, so that a response that is cut off never reaches the caller.
+const MAX_BUFFERED_BYTES: usize = 512 * 1024;
+/// End of a chunked body.
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// How a delivery ended.
+/// Result of a delivery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliveryOutcome {
-    /// The caller has all of it.
+    /// The whole response was delivered.
     Complete,
-    /// The answer broke off before a byte of it was passed on.
+    /// The response was cut off before any of it was delivered; the reason.
     Nothing(&'static str),
-    /// The answer broke off after a part of it was passed on.
+    /// The response was cut off after part of it was delivered; the reason.
     Partly(&'static str),
-    /// The time was over.
+    /// The deadline passed.
     Late,
-    /// The caller has gone.
+    /// The caller closed the connection.
     CallerGone,
 }
 
-/// What an upstream gave next.
+/// Next part of a response body, or why there is none.
 enum Part {
     Data(Bytes),
     End,
@@ -43,15 +43,20 @@
     CallerGone,
 }
 
-/// Waits for the next part of a body, for the caller's close, and for the time.
-async fn next(reply: &mut Reply, client: &mut Connection, left: Duration, silence: Option<Duration>) -> Part {
-    let wait = silence.map_or(left, |silence| silence.min(left));
+/// Waits for the next part of a body, until the caller closes the connection, the stall timeout or the deadline.
+async fn next_part(
+    reply: &mut Reply,
+    client: &mut Connection,
+    left: Duration,
+    stall_timeout: Option<Duration>,
+) -> Part {
+    let wait = stall_timeout.map_or(left, |stall_timeout| stall_timeout.min(left));
     tokio::select! {
         part = reply.pooled.connection.part(&mut reply.body) => match part {
             Ok(Some(data)) => Part::Data(data),
             Ok(None) => Part::End,
             Err(http::Error::Malformed(why)) => Part::Broken(why),
-            Err(_) => Part::Broken("the connection ended within the answer"),
+            Err(_) => Part::Broken("connection closed before the end of the response"),
         },
         () = client.closed() => Part::CallerGone,
         () = sleep(wait) => if wait == left { Part::Late } else { Part::Silent },
@@ -74,8 +79,8 @@
     }
 }
 
-/// Delivers an answer that fits into memory in one piece.
-pub async fn whole(
+/// Buffers a response and delivers it as a whole; one that is too large is forwarded as it arrives.
+pub async fn deliver_buffered(
     core: &Shared,
     request: &AdmittedRequest,
     mut reply: Reply,
@@ -84,15 +89,15 @@
     let mut body = BytesMut::new();
     loop {
         let left = request.deadline.saturating_sub(core.now());
-        match next(&mut reply, client, left, None).await {
-            Part::Data(data) if body.len() + data.len() > LONGEST_WHOLE => {
+        match next_part(&mut reply, client, left, None).await {
+            Part::Data(data) if body.len() + data.len() > MAX_BUFFERED_BYTES => {
                 body.extend_from_slice(&data);
-                return long(core, request, reply, client, body).await;
+                return deliver_unbuffered(core, request, reply, client, body).await;
             }
             Part::Data(data) => body.extend_from_slice(&data),
             Part::End => break,
             Part::Broken(why) => return DeliveryOutcome::Nothing(why),
-            Part::Silent | Part::Late => return DeliveryOutcome::Nothing("the time is over"),
+            Part::Silent | Part::Late => return DeliveryOutcome::Nothing("deadline exceeded"),
             Part::CallerGone => return DeliveryOutcome::CallerGone,
         }
     }
@@ -105,8 +110,8 @@
     }
 }
 
-/// Passes on an answer that is too long to be held.
-async fn long(
+/// Forwards a response that is too large to be buffered.
+async fn deliver_unbuffered(
     core: &Shared,
     request: &AdmittedRequest,
     mut reply: Reply,
@@ -118,15 +123,15 @@
         Framing::Chunked | Framing::UntilClose => Framing::Chunked,
     };
     let mut out = head(core, &reply.answer, framing);
-    put(&mut out, framing, &first);
+    put_data(&mut out, framing, &first);
     loop {
         if client.send(&out).await.is_err() {
             return DeliveryOutcome::CallerGone;
         }
         out.clear();
         let left = request.deadline.saturating_sub(core.now());
-        match next(&mut reply, client, left, None).await {
-            Part::Data(data) => put(&mut out, framing, &data),
+        match next_part(&mut reply, client, left, None).await {
+            Part::Data(data) => put_data(&mut out, framing, &data),
             Part::End => break,
             Part::Broken(why) => return DeliveryOutcome::Partly(why),
             Part::Silent | Part::Late => return DeliveryOutcome::Late,
@@ -140,7 +145,7 @@
     DeliveryOutcome::Complete
 }
 
-fn put(out: &mut BytesMut, framing: Framing, data: &[u8]) {
+fn put_data(out: &mut BytesMut, framing: Framing, data: &[u8]) {
     if framing != Framing::Chunked {
         out.put_slice(data);
         return;
@@ -150,12 +155,12 @@
     out.put_slice(b"\r\n");
 }
 
-/// Pace of a stream as the caller sees it.
+/// Timing of a stream's events as the caller sees them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StreamTiming {
-    /// Time to the first event.
+    /// Time from the request to the first event.
     pub first: Option<Duration>,
-    /// Longest pause between two events.
+    /// Longest gap between two events.
     pub pause: Duration,
     last: Moment,
 }
@@ -174,67 +179,67 @@
     }
 }
 
-/// Delivers a stream, event by event where it may go on elsewhere.
+/// Delivers a stream; a resumable one in whole events only.
 ///
-/// `started` is called when a part has come; `elsewhere` returns whether another upstream can
-/// go on with a stream that is silent.
-pub async fn stream(
+/// `on_data` is called for each part that arrives; `can_move` returns whether another upstream can resume a
+/// stalled stream.
+pub async fn deliver_stream(
     core: &Shared,
     message: &mut Message<'_>,
     mut reply: Reply,
     client: &mut Connection,
     pace: &mut StreamTiming,
-    mut started: impl FnMut(),
-    mut elsewhere: impl FnMut() -> bool,
+    mut on_data: impl FnMut(),
+    mut can_move: impl FnMut() -> bool,
 ) -> DeliveryOutcome {
     let request = message.request;
     let mut events = EventSplitter::default();
-    // The head goes out with the first event; a stream that goes on has one already.
+    // The head is sent with the first event; for a resumed stream it has already been sent.
     let mut out = match message.last_event {
         Some(_) => BytesMut::new(),
         None => head(core, &reply.answer, Framing::Chunked),
     };
-    let mut begun = message.last_event.is_some();
-    let silence = request
+    let mut has_started = message.last_event.is_some();
+    let stall_timeout = request
         .route
         .resumable
         .then(|| request.route.stream_stall_timeout());
     loop {
         let left = request.deadline.saturating_sub(core.now());
-        let patience = if begun { silence } else { None };
-        match next(&mut reply, client, left, patience).await {
+        let stall_limit = if has_started { stall_timeout } else { None };
+        match next_part(&mut reply, client, left, stall_limit).await {
             Part::Data(data) => {
-                started();
+                on_data();
                 let before = out.len();
                 if request.route.resumable {
                     events.push(&data);
                     if events.is_overfull() {
-                        return broken(begun, "an event without an end");
+                        return cut_off(has_started, "event exceeds the size limit");
                     }
-                    if let Err(why) = take_events(&mut events, message, &mut out) {
-                        return broken(begun, why);
+                    if let Err(why) = forward_events(&mut events, message, &mut out) {
+                        return cut_off(has_started, why);
                     }
                 } else {
-                    put(&mut out, Framing::Chunked, &data);
+                    put_data(&mut out, Framing::Chunked, &data);
                 }
                 if out.len() == before {
                     continue;
                 }
                 pace.event(core, request);
-                begun = true;
+                has_started = true;
                 if client.send(&out).await.is_err() {
                     return DeliveryOutcome::CallerGone;
                 }
                 out.clear();
             }
-            Part::End if !events.is_empty() => return broken(begun, "the stream ended within an event"),
+            Part::End if !events.is_empty() => return cut_off(has_started, "stream ended within an event"),
             Part::End => break,
-            Part::Broken(why) => return broken(begun, why),
-            Part::Silent if elsewhere() => return broken(begun, "silent within the stream"),
-            // Silence alone is no reason to end a stream.
+            Part::Broken(why) => return cut_off(has_started, why),
+            Part::Silent if can_move() => return cut_off(has_started, "stream stalled"),
+            // A stall alone doesn't end a stream, as its events may only be late.
             Part::Silent => {}
-            Part::Late if begun => return DeliveryOutcome::Late,
-            Part::Late => return DeliveryOutcome::Nothing("the time is over"),
+            Part::Late if has_started => return DeliveryOutcome::Late,
+            Part::Late => return DeliveryOutcome::Nothing("deadline exceeded"),
             Part::CallerGone => return DeliveryOutcome::CallerGone,
         }
     }
@@ -246,16 +251,17 @@
     }
 }
 
-fn broken(begun: bool, why: &'static str) -> DeliveryOutcome {
-    if begun {
+fn cut_off(has_started: bool, why: &'static str) -> DeliveryOutcome {
+    if has_started {
         DeliveryOutcome::Partly(why)
     } else {
         DeliveryOutcome::Nothing(why)
     }
 }
 
-/// Passes on the whole events at hand, each once and in order.
-fn take_events(
+/// Appends the complete events to the output, each once and in order. After a resume, the new upstream may send
+/// events again that the caller already has.
+fn forward_events(
     events: &mut EventSplitter,
     message: &mut Message<'_>,
     out: &mut BytesMut,
@@ -267,11 +273,11 @@
                 continue;
             }
             if expected.is_some_and(|expected| id > expected) {
-                return Err("an event is missing");
+                return Err("event missing from the resumed stream");
             }
             message.last_event = Some(id);
         }
-        put(out, Framing::Chunked, &event.bytes);
+        put_data(out, Framing::Chunked, &event.bytes);
     }
     Ok(())
 }
--- a/crates/jb-relay/src/exchange/run.rs
+++ b/crates/jb-relay/src/exchange/run.rs
@@ -288,9 +288,9 @@
             };
             let on_data = || counted.note_first_token(&request.service);
             let pace = &mut self.pace;
-            deliver::stream(core, &mut self.message, reply, client, pace, on_data, can_move).await
+            deliver::deliver_stream(core, &mut self.message, reply, client, pace, on_data, can_move).await
         } else {
-            deliver::whole(core, request, reply, client).await
+            deliver::deliver_buffered(core, request, reply, client).await
         };
         match delivered {
             DeliveryOutcome::Complete => {
--- a/crates/jb-relay/src/pool.rs
+++ b/crates/jb-relay/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams: one request at a time, reused for the next one.
+//! Connection pool of each upstream. A connection carries one request at a time.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,67 +11,68 @@
 use crate::http::Connection;
 use crate::upstream::Instance;
 
-/// Time for a connection to come up: several round trips inside a region.
-const CONNECT: Duration = Duration::from_millis(300);
-/// Rest after which an idle connection is not used again, unless the upstream names less.
+/// Connect timeout: several round trips inside a region.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Idle time after which a connection is not reused, unless the upstream states a shorter one.
 pub const MAX_IDLE_TIME: Duration = Duration::from_secs(8);
-/// The same for requests that run at most once: a connection that the upstream
-/// has just closed would leave it open whether they ran.
+/// The same for requests that may be executed only once: on a connection that the upstream has just closed, it
+/// would be unknown whether the request was executed.
 const MAX_IDLE_TIME_ONCE: Duration = Duration::from_secs(3);
-/// Share of the rest that an upstream names which is used.
+/// Part of the idle timeout stated by an upstream for which a connection is reused.
 const IDLE_SHARE: f64 = 0.7;
-/// Idle connections to one upstream.
+/// Upper bound on idle connections to one upstream.
 const MAX_IDLE_CONNECTIONS: usize = 24;
 
-/// An idle connection.
+/// A connection without a request.
 #[derive(Debug)]
 pub struct IdleConnection {
     connection: Connection,
-    /// Since when it rests.
-    pub since: Moment,
-    rest: Duration,
+    /// When its last request ended.
+    pub idle_since: Moment,
+    max_idle: Duration,
 }
 
-/// A connection in use; it counts as open until dropped.
+/// A connection that carries a request.
 pub struct PooledConnection {
-    /// The connection.
+    /// HTTP connection.
     pub connection: Connection,
-    /// Upstream.
+    /// Upstream that it leads to.
     pub upstream: Instance,
-    /// Whether it has served a request before.
+    /// Whether it has carried a request before.
     pub used: bool,
 }
 
-/// Why there is no connection.
+/// Why a connection couldn't be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The upstream is no longer known.
-    #[error("the upstream has gone")]
+    /// The upstream is no longer registered.
+    #[error("the upstream is no longer registered")]
     Gone,
-    /// It accepts no connection.
-    #[error("no connection: {0}")]
+    /// The connection failed, for example because it was refused.
+    #[error("connection failed: {0}")]
     Refused(std::io::Error),
-    /// It gives no word.
-    #[error("no connection within {0:?}")]
+    /// The connection was not established in this time.
+    #[error("connection timed out after {0:?}")]
     TimedOut(Duration),
 }
 
-/// An idle connection, or a new one.
+/// Returns an idle connection, or opens a new one. `once` restricts the reuse for requests that may be executed
+/// only once.
 ///
 /// # Errors
-/// When none comes up; nothing has been sent then.
+/// If no connection can be opened; nothing has been sent in that case.
 pub async fn checkout(core: &Shared, upstream: &Instance, once: bool) -> Result<PooledConnection, Error> {
-    if let Some(connection) = idle(core, upstream, once) {
+    if let Some(connection) = take_idle(core, upstream, once) {
         return Ok(PooledConnection {
             connection,
             upstream: upstream.clone(),
             used: true,
         });
     }
-    open(core, upstream, CONNECT).await
+    open(core, upstream, CONNECT_TIMEOUT).await
 }
 
-/// A new connection, if it comes up in time.
+/// Opens a connection within a timeout.
 async fn open(core: &Shared, upstream: &Instance, time: Duration) -> Result<PooledConnection, Error> {
     let address = core
         .upstreams
@@ -91,16 +92,15 @@
     })
 }
 
-/// Time without an acknowledgement after which the system gives a connection up.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2500);
+/// Time without an acknowledgement after which the operating system closes a connection.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Connects with the options that every connection has which a box opens, to an upstream or to the
-/// store.
+/// Connects with the socket options of all connections that a box opens, to upstreams and to the store.
 ///
-/// What is given up must not arrive any more: a closed connection still delivers what was written
-/// to it, behind a cut seconds later, to an upstream that then runs a request for nobody or to a
-/// store that does a write nobody waits for. So closing is a reset, which drops what is held up. A
-/// connection whose last answer was read to its end loses nothing by it.
+/// Data of an abandoned call must not arrive later. After an orderly close the operating system still delivers
+/// written data, after a network partition even seconds later, so that an upstream would execute a request, or
+/// the store a write, that nobody waits for. Closing therefore resets the connection, which drops unsent data. A
+/// connection whose last response was read completely loses nothing by a reset.
 ///
 /// # Errors
 /// What the operating system reports.
@@ -112,21 +112,21 @@
     };
     socket.set_nodelay(true)?;
     let options = socket2::SockRef::from(&socket);
-    options.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+    options.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
     options.set_linger(Some(Duration::ZERO))?;
     socket.connect(address).await
 }
 
-/// Time for a connection that only shows whether an upstream has ended; a request that is sent
-/// again waits for it. A round trip inside a region takes 2 to 10 ms.
-const PROBE: Duration = Duration::from_millis(50);
-/// Upstreams of its data hall that are asked at the most for whether the path there is well.
-const WITNESSES: usize = 2;
+/// Connect timeout of a probe that only shows whether an upstream has crashed; a retried request waits for it. A
+/// round trip inside a region takes 2 to 10 ms.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
+/// Upper bound on other upstreams that are probed to check the path to a data hall.
+const MAX_WITNESSES: usize = 2;
 
-/// Whether an upstream has ended with a request in hand, which a connection that was lost does not
-/// show: one that lives takes another connection, which is kept for the next request. A cut of its
-/// data hall may refuse connections as well, so another upstream there has to take one. An upstream
-/// that leaves ends as planned.
+/// Returns whether an upstream has crashed while it executed a request. A lost connection alone doesn't show it:
+/// a running upstream accepts a new connection, which is kept for the next request. As a partition of the data hall
+/// may also refuse connections, another upstream there has to accept one. A draining upstream is expected to end,
+/// which is no crash.
 pub async fn has_crashed(core: &Shared, upstream: &Instance) -> bool {
     if let Some(known) = core.upstreams.borrow().instance(upstream) {
         if known.entry.draining {
@@ -140,7 +140,7 @@
         Err(Error::Refused(why)) => why.kind() == std::io::ErrorKind::ConnectionRefused,
         _ => false,
     };
-    if !refuses || !is_path_well(core, upstream).await {
+    if !refuses || !is_hall_connectable(core, upstream).await {
         return false;
     }
     if let Some(known) = core.upstreams.borrow_mut().instance_mut(upstream) {
@@ -149,20 +149,19 @@
     true
 }
 
-/// Opens a connection to see whether it comes up, and keeps it for the next request.
+/// Checks that an upstream accepts a connection, and keeps the connection for the next request.
 async fn probe(core: &Shared, upstream: &Instance) -> Result<(), Error> {
-    let pooled = open(core, upstream, PROBE).await?;
+    let pooled = open(core, upstream, PROBE_TIMEOUT).await?;
     put_back(core, pooled, None);
     Ok(())
 }
 
-/// Whether connections to the data hall of an upstream come up. Where there is no other upstream,
-/// nothing speaks against it.
-async fn is_path_well(core: &Shared, upstream: &Instance) -> bool {
+/// Returns whether another upstream in the same data hall accepts a connection; true if there is no other one.
+async fn is_hall_connectable(core: &Shared, upstream: &Instance) -> bool {
     let witnesses = core
         .upstreams
         .borrow()
-        .neighbours(upstream, WITNESSES, core.now());
+        .neighbours(upstream, MAX_WITNESSES, core.now());
     for witness in &witnesses {
         if probe(core, witness).await.is_ok() {
             return true;
@@ -171,19 +170,19 @@
     witnesses.is_empty()
 }
 
-fn idle(core: &Shared, upstream: &Instance, once: bool) -> Option<Connection> {
+fn take_idle(core: &Shared, upstream: &Instance, once: bool) -> Option<Connection> {
     let now = core.now();
     let mut upstreams = core.upstreams.borrow_mut();
     let pool = &mut upstreams.instance_mut(upstream)?.idle;
     while let Some(mut idle) = pool.pop() {
-        let rest = if once {
-            idle.rest.min(MAX_IDLE_TIME_ONCE)
+        let max_idle = if once {
+            idle.max_idle.min(MAX_IDLE_TIME_ONCE)
         } else {
-            idle.rest
+            idle.max_idle
         };
-        if now.saturating_sub(idle.since) > rest {
-            if once && now.saturating_sub(idle.since) <= idle.rest {
-                // Still good for a request that may run again.
+        if now.saturating_sub(idle.idle_since) > max_idle {
+            if once && now.saturating_sub(idle.idle_since) <= idle.max_idle {
+                // The connection is still usable for a retryable request.
                 pool.push(idle);
                 return None;
             }
@@ -196,13 +195,13 @@
     None
 }
 
-/// Keeps a connection for the next request.
-pub fn put_back(core: &Shared, pooled: PooledConnection, rest: Option<Duration>) {
+/// Keeps a connection for the next request. `max_idle` is the idle timeout that the upstream states.
+pub fn put_back(core: &Shared, pooled: PooledConnection, max_idle: Option<Duration>) {
     let PooledConnection {
         connection, upstream, ..
     } = pooled;
     if !connection.buffer.is_empty() {
-        // Bytes after a whole answer belong to no request.
+        // Data after a complete response belongs to no request.
         return;
     }
     let mut upstreams = core.upstreams.borrow_mut();
@@ -212,22 +211,22 @@
     if known.idle.len() >= MAX_IDLE_CONNECTIONS {
         return;
     }
-    let rest = rest.map_or(MAX_IDLE_TIME, |named| {
+    let max_idle = max_idle.map_or(MAX_IDLE_TIME, |named| {
         named.mul_f64(IDLE_SHARE).min(MAX_IDLE_TIME)
     });
     known.idle.push(IdleConnection {
         connection,
-        since: core.now(),
-        rest,
+        idle_since: core.now(),
+        max_idle,
     });
 }
 
-/// Closes connections that have rested too long.
+/// Closes connections that have been idle for too long.
 pub fn close_expired(core: &Shared) {
     let now = core.now();
     for upstream in core.upstreams.borrow_mut().values_mut() {
         upstream
             .idle
-            .retain(|idle| now.saturating_sub(idle.since) <= idle.rest);
+            .retain(|idle| now.saturating_sub(idle.idle_since) <= idle.max_idle);
     }
 }
--- a/crates/jb-relay/src/upstream/pick.rs
+++ b/crates/jb-relay/src/upstream/pick.rs
@@ -54,7 +54,7 @@
     /// Open engines to which this box has an idle connection, the last used first.
     pub fn connected(&self, wanted: &Wanted<'_>, count: usize, now: Moment) -> Vec<Instance> {
         let open = self.open(wanted, now);
-        let idle = open.filter_map(|upstream| Some((upstream.idle.last()?.since, &upstream.instance)));
+        let idle = open.filter_map(|upstream| Some((upstream.idle.last()?.idle_since, &upstream.instance)));
         let mut all: Vec<(Moment, &Instance)> = idle.collect();
         all.sort_unstable_by(|a, b| b.cmp(a));
         all.into_iter()
