--- a/crates/jb-relay/src/accept.rs
+++ b/crates/jb-relay/src/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections.
+//! Accept loop of listeners.
 
 use std::future::Future;
 use std::rc::Rc;
@@ -10,10 +10,10 @@
 
 use crate::core::Shared;
 
-/// Pause after a connection that could not be accepted, such as for want of descriptors.
-const AFTER_ERROR: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, for example because the process is out of file descriptors.
+const ERROR_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts connections for ever, each served by a task of its own.
+/// Accepts connections until the task is dropped; each is served by its own task.
 pub async fn serve<F>(core: Shared, listener: TcpListener, connection: fn(Shared, TcpStream) -> F)
 where
     F: Future<Output = ()> + 'static,
@@ -25,7 +25,7 @@
             }
             Err(why) => {
                 emit!(core.logger, warn, event::ACCEPT_FAILED, "why" => %why);
-                sleep(AFTER_ERROR).await;
+                sleep(ERROR_DELAY).await;
             }
         }
     }
--- a/crates/jb-relay/src/admission.rs
+++ b/crates/jb-relay/src/admission.rs
@@ -201,7 +201,7 @@
     let segment = |part: &str| {
         let (id, tokens) = part.trim().split_once(':')?;
         Some(Segment {
-            id: salt::part(id, salt),
+            id: salt::segment_id(id, salt),
             tokens: tokens.parse().ok()?,
         })
     };
--- a/crates/jb-relay/src/cache_scan.rs
+++ b/crates/jb-relay/src/cache_scan.rs
@@ -1,7 +1,7 @@
 //! Reads the contents of the engines' prefix caches when a box starts.
 //!
-//! A box that has just started would otherwise have cached segments read again elsewhere; after a restart
-//! of all boxes no other box could help it.
+//! Without it, a box that has just started would send prompts to engines that have to prefill segments cached
+//! elsewhere. After a restart of all boxes no other box could provide the contents.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,17 +20,17 @@
 use crate::signal;
 use crate::upstream::Instance;
 
-/// Interval at which the box looks whether it knows the engines.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval at which the scan checks whether the engines are known.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Scans all engines once, as soon as the box knows them. Not in a large fleet: each scan holds up an
-/// engine's work and takes a connection.
+/// Scans all engines once, as soon as the box knows them. A large fleet doesn't scan, as each scan delays an
+/// engine's work and uses a connection.
 pub async fn run(core: Shared) {
     while core.state_age().is_none() {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     peers::list(&core);
-    // Before the first box was listed, the caches were empty.
+    // If no other box is listed, this is the first one, and the caches are still empty.
     let (small, listed) = {
         let book = core.book.borrow();
         (book.is_small(), book.others(&core.settings.id).next().is_some())
@@ -42,7 +42,7 @@
     }
 }
 
-/// Upstreams that cache prompts.
+/// Returns the upstreams that cache prompts.
 fn engines(core: &Core) -> Vec<(Instance, SocketAddr)> {
     let upstreams = core.upstreams.borrow();
     let with_models = upstreams.iter().filter(|(_, u)| !u.entry.models.is_empty());
@@ -65,21 +65,21 @@
     }
 }
 
-/// Applies the contents of an engine's cache that belong to its present weights.
+/// Applies the contents of an engine's cache that belong to its current weights.
 fn apply(core: &Core, instance: &Instance, contents: &[CachedSegment]) {
     let mut upstreams = core.upstreams.borrow_mut();
     let Some(upstream) = upstreams.instance_mut(instance) else {
         return;
     };
     let mut segments = Vec::new();
-    for part in contents {
-        let Some((text, version)) = salt::decode(&part.salt) else {
+    for segment in contents {
+        let Some((text, version)) = salt::decode(&segment.salt) else {
             continue;
         };
-        if upstream.weights(&part.model) == Some(version) {
+        if upstream.weights(&segment.model) == Some(version) {
             segments.push(Segment {
-                id: salt::part(&part.id, text),
-                tokens: part.tokens,
+                id: salt::segment_id(&segment.id, text),
+                tokens: segment.tokens,
             });
         }
     }
--- a/crates/jb-relay/src/cache_store.rs
+++ b/crates/jb-relay/src/cache_store.rs
@@ -1,6 +1,6 @@
-//! Shared stores of KV cache, and what each is believed to hold.
+//! Shared KV cache stores, with a model of the contents of each.
 //!
-//! A store drops nothing when weights change, so a segment's id there includes the version of the weights.
+//! A store evicts nothing when weights change, so a segment's id there includes the weights version.
 
 use std::net::SocketAddr;
 
@@ -9,22 +9,22 @@
 
 use crate::configuration::CacheStoreConfig;
 
-/// One store.
+/// A shared KV cache store.
 #[derive(Debug)]
 pub struct CacheStore {
-    /// Address.
+    /// Address that engines connect to.
     pub address: SocketAddr,
-    /// Hash of the address, as boxes name the store to each other.
+    /// Hash of the address, which identifies the store in messages between boxes.
     pub name: u64,
     cache: PrefixCache,
 }
 
-/// All stores.
+/// All configured stores.
 #[derive(Debug, Default)]
 pub struct CacheStores(Vec<CacheStore>);
 
-/// Returns a segment as stores identify it under a version of the weights.
-fn under(segment: Segment, version: u64) -> Segment {
+/// Returns a segment with its id for a weights version.
+fn versioned_segment(segment: Segment, version: u64) -> Segment {
     Segment {
         id: place::weight(segment.id, version),
         tokens: segment.tokens,
@@ -32,32 +32,34 @@
 }
 
 impl CacheStore {
-    /// Tokens of the leading segments that it holds for a version.
-    pub fn found(&self, prompt: &[Segment], version: u64) -> u64 {
+    /// Returns the number of tokens in the leading segments that the store holds for a weights version.
+    pub fn cached_tokens(&self, prompt: &[Segment], version: u64) -> u64 {
         self.leading(prompt, version).map(|segment| segment.tokens).sum()
     }
 
-    /// The leading segments that it holds for a version.
+    /// Returns the leading segments that the store holds for a weights version.
     fn leading(&self, prompt: &[Segment], version: u64) -> impl Iterator<Item = Segment> {
-        let segments = prompt.iter().map(move |segment| under(*segment, version));
+        let segments = prompt
+            .iter()
+            .map(move |segment| versioned_segment(*segment, version));
         segments.take_while(|segment| self.cache.holds(segment.id))
     }
 
-    /// Notes that an engine loads the shared segments of a prompt.
+    /// Records that an engine loads the shared segments of a prompt from the store.
     pub fn note_load(&mut self, shared: &[Segment], version: u64) {
         let held: Vec<Segment> = self.leading(shared, version).collect();
         self.cache.read(held.into_iter(), 0);
     }
 
-    /// Notes that an engine sends the shared segments of a prompt.
+    /// Records that an engine writes the shared segments of a prompt, and `own` unshared tokens, to the store.
     pub fn note_store(&mut self, shared: impl Iterator<Item = Segment>, version: u64, own: u64) {
         self.cache
-            .read(shared.map(|segment| under(segment, version)), own);
+            .read(shared.map(|segment| versioned_segment(segment, version)), own);
     }
 }
 
 impl CacheStores {
-    /// Applies the stores of a configuration; what is known of those that stay is preserved.
+    /// Applies the stores of a configuration; the model of a store that remains configured is kept.
     pub fn configure(&mut self, configs: &[CacheStoreConfig]) {
         self.0
             .retain(|store| configs.iter().any(|config| config.address == store.address));
@@ -76,10 +78,10 @@
     }
 
     /// Returns the store of a prefix group; always the same one for the same group.
-    pub fn of(&mut self, family: u64) -> Option<&mut CacheStore> {
+    pub fn for_group(&mut self, group: u64) -> Option<&mut CacheStore> {
         self.0
             .iter_mut()
-            .max_by_key(|store| place::weight(family, store.name))
+            .max_by_key(|store| place::weight(group, store.name))
     }
 
     /// Returns the store with a name.
--- a/crates/jb-relay/src/deliver.rs
+++ b/crates/jb-relay/src/deliver.rs
@@ -213,7 +213,7 @@
                 let before = out.len();
                 if request.route.resumable {
                     events.push(&data);
-                    if events.is_overfull() {
+                    if events.exceeds_limit() {
                         return cut_off(has_started, "event exceeds the size limit");
                     }
                     if let Err(why) = forward_events(&mut events, message, &mut out) {
--- a/crates/jb-relay/src/events.rs
+++ b/crates/jb-relay/src/events.rs
@@ -1,33 +1,33 @@
-//! Events of a stream, so that a broken stream goes on at another engine
-//! without a piece missing or twice.
+//! Splits a stream into server-sent events, so that a broken stream can be resumed at another engine without lost or
+//! duplicated events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is waited for, in bytes.
-const LONGEST: usize = 256 * 1024;
+/// Upper bound on an event, in bytes.
+const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// One whole event with its blank line.
+/// A complete event including the blank line that ends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Id, if it names one.
+    /// Numeric id, if it has one.
     pub id: Option<u64>,
-    /// All its bytes.
+    /// Raw bytes.
     pub bytes: Bytes,
 }
 
-/// Cuts a stream into whole events.
+/// Splits a stream into complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     rest: BytesMut,
 }
 
 impl EventSplitter {
-    /// Takes bytes in.
+    /// Appends bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.rest.extend_from_slice(bytes);
     }
 
-    /// Takes the next whole event out.
+    /// Removes and returns the next complete event.
     pub fn next_event(&mut self) -> Option<Event> {
         let end = end_of_event(&self.rest)?;
         let bytes = self.rest.split_to(end).freeze();
@@ -37,17 +37,17 @@
         })
     }
 
-    /// Whether bytes of an unfinished event are held.
+    /// Returns whether no bytes of an incomplete event are buffered.
     pub fn is_empty(&self) -> bool {
         self.rest.is_empty()
     }
 
-    /// Whether more is held than an event may have.
-    pub fn is_overfull(&self) -> bool {
-        self.rest.len() > LONGEST
+    /// Returns whether more bytes are buffered than an event may have.
+    pub fn exceeds_limit(&self) -> bool {
+        self.rest.len() > MAX_EVENT_BYTES
     }
 
-    /// Drops what is held of an unfinished event.
+    /// Discards the buffered bytes.
     pub fn clear(&mut self) {
         self.rest.clear();
     }
--- a/crates/jb-relay/src/exchange/kv_transfer.rs
+++ b/crates/jb-relay/src/exchange/kv_transfer.rs
@@ -84,7 +84,10 @@
         let shared = self.demand().shared();
         let store = {
             let mut cache_stores = core.cache_stores.borrow_mut();
-            let store = self.demand().family().and_then(|family| cache_stores.of(family));
+            let store = self
+                .demand()
+                .family()
+                .and_then(|family| cache_stores.for_group(family));
             store.map(|store| store.address)
         };
         let plan = transfer::plan_advised(&Holdings {
@@ -148,12 +151,15 @@
             ..Holdings::default()
         };
         let mut cache_stores = self.core.cache_stores.borrow_mut();
-        let store = self.demand().family().and_then(|family| cache_stores.of(family));
+        let store = self
+            .demand()
+            .family()
+            .and_then(|family| cache_stores.for_group(family));
         let (Some(store), Some(version)) = (store, version) else {
             return elsewhere;
         };
         Holdings {
-            store: store.found(shared, version),
+            store: store.cached_tokens(shared, version),
             has_store: true,
             sure: self.core.book.borrow().is_small(),
             ..elsewhere
@@ -163,7 +169,7 @@
     /// Returns the address of the prefix group's cache store as the source of segments.
     fn read_from_store(&self, shared: &[Segment], version: Option<Version>) -> Option<SocketAddr> {
         let mut cache_stores = self.core.cache_stores.borrow_mut();
-        let store = cache_stores.of(self.demand().family()?)?;
+        let store = cache_stores.for_group(self.demand().family()?)?;
         // Segments that the store has evicted count as stored only after they are written again.
         store.note_load(shared, version?);
         Some(store.address)
@@ -180,7 +186,7 @@
     ) -> Option<SocketAddr> {
         let mut cache_stores = self.core.cache_stores.borrow_mut();
         let all = self.demand().shared();
-        let store = cache_stores.of(self.demand().family()?)?;
+        let store = cache_stores.for_group(self.demand().family()?)?;
         let version = version?;
         if held >= all || own > all * MAX_OWN_PER_SHARED {
             return None;
--- a/crates/jb-relay/src/follow/run.rs
+++ b/crates/jb-relay/src/follow/run.rs
@@ -260,7 +260,7 @@
     let before = known(core);
     let is_restored = note_era(core, from, revision);
     if whole {
-        let missing = core.mirror.borrow().missing(&changes, revision);
+        let missing = core.mirror.borrow().deletions(&changes, revision);
         changes.extend(missing);
     }
     if whole && before.is_some() {
--- a/crates/jb-relay/src/header_names.rs
+++ b/crates/jb-relay/src/header_names.rs
@@ -1,50 +1,50 @@
-//! Names of the headers that a platform's callers and engines use.
+//! Names of the headers of a platform's callers and engines.
 
-/// Header names, given by the platform's adapter.
+/// Header names, provided by the platform adapter.
 #[derive(Clone, Copy, Debug)]
 pub struct HeaderNames {
-    /// Id of a request; an answer carries it back.
+    /// Id of a request; the response repeats it.
     pub request_id: &'static str,
-    /// Milliseconds that the receiver may take.
+    /// Remaining time for the response, in milliseconds.
     pub deadline: &'static str,
-    /// Model of a request.
+    /// Requested model.
     pub model: &'static str,
-    /// Prompt tokens and the most tokens out, as `IN,OUT`.
+    /// Prompt tokens and maximum output tokens, as `IN,OUT`.
     pub token_counts: &'static str,
-    /// Parts of the prompt, as `ID:TOKENS` joined by commas.
+    /// Segments of the prompt, as a comma-separated list of `ID:TOKENS`.
     pub prompt_segments: &'static str,
-    /// Last event that the receiver of a stream has.
+    /// Last event that the receiver of a stream has received.
     pub last_event: &'static str,
-    /// Proof that an engine made the answer.
+    /// Signature of the engine that generated the response.
     pub signature: &'static str,
-    /// Customer of a request.
+    /// Customer that sent the request.
     pub customer: &'static str,
-    /// Incarnation of the upstream that a request is meant for.
+    /// Instance that the request is meant for.
     pub expected_instance: &'static str,
-    /// Incarnation that answers.
+    /// Instance that sent the response.
     pub answering_instance: &'static str,
-    /// Version of the weights that a request is meant for.
+    /// Weights version that the request is meant for.
     pub expected_weights: &'static str,
-    /// Signal that an upstream hasn't run the request.
+    /// Signal that the upstream hasn't executed the request.
     pub not_run: &'static str,
-    /// Signal that an upstream drains.
+    /// Signal that the upstream drains.
     pub draining: &'static str,
-    /// Seconds for which an upstream that rejects a request accepts no other.
+    /// Seconds for which an upstream that rejected a request accepts no others.
     pub retry_after: &'static str,
     /// Requests per second that an upstream accepts from all boxes together.
     pub rate_limit: &'static str,
     /// Prefix of the names of all signals of upstreams.
     pub signal_prefix: &'static str,
-    /// Text under which an engine keeps a prompt's parts.
+    /// Salt under which an engine caches the prompt's segments.
     pub cache_salt: &'static str,
-    /// Urgency of a request at an engine, 0 first.
+    /// Priority of a request at an engine; 0 is the most urgent.
     pub urgency: &'static str,
-    /// Versions of the weights behind an answer.
+    /// Weights version with which the response was generated.
     pub answer_weights: &'static str,
-    /// Engine or store from which cached segments are transferred first.
+    /// Engine or cache store from which the engine loads cached segments before prefill.
     pub kv_source: &'static str,
-    /// Store to which parts are sent once they have been read.
+    /// Cache store to which the engine writes segments after prefill.
     pub kv_target: &'static str,
-    /// Every header that only a box may set, in lower case.
+    /// All headers that only a box may set, in lower case.
     pub reserved: &'static [&'static str],
 }
--- a/crates/jb-relay/src/metrics.rs
+++ b/crates/jb-relay/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of the opaque path.
+//! Metrics of the relay.
 
 use prometheus_client::encoding::text::encode;
 use prometheus_client::encoding::{EncodeLabelSet, LabelSetEncoder};
@@ -8,12 +8,12 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-/// Label of an ending.
+/// Labels of a finished request.
 #[derive(Clone, Debug, Hash, PartialEq, Eq)]
 pub struct OutcomeLabels {
-    /// How the request ended.
+    /// Outcome of the request.
     pub ending: &'static str,
-    /// Status that the caller got; 0 for none.
+    /// Status that the caller received; 0 if there was none.
     pub status: u16,
 }
 
@@ -30,31 +30,31 @@
 /// Metrics of a box.
 #[derive(Debug)]
 pub struct Metrics {
-    /// Requests by ending.
+    /// Finished requests by outcome and status.
     pub requests: Family<OutcomeLabels, Counter>,
-    /// Seconds from a request's head to the first byte of its answer.
+    /// Seconds from the request head to the first byte of the response.
     pub first_byte: Histogram,
-    /// Sends beyond the first.
+    /// Retries granted by the retry budgets.
     pub retries: Counter,
-    /// Datagrams that were refused: unreadable, or of somebody who is not a box.
+    /// Rejected datagrams: malformed, or not from a box.
     pub rejected_datagrams: Counter,
-    /// Questions to accounts without an answer in time.
+    /// Queries to engine accounts that timed out.
     pub account_timeouts: Counter,
-    /// Requests beyond their customers' limits.
+    /// Requests rejected because their customer's quota was exceeded.
     pub quota_exceeded: Counter,
-    /// Charges to accounts of customers without an answer in time.
+    /// Charges to customers' quotas that timed out.
     pub quota_timeouts: Counter,
-    /// Requests that this box judged by its own share of a limit, as no other box answered.
+    /// Requests decided by this box's own share of a quota, as no other box answered.
     pub quota_decided_locally: Counter,
-    /// Requests that were shown to end engines.
+    /// Requests quarantined because they crash engines.
     pub requests_quarantined: Counter,
-    /// Tries of such requests that were refused.
+    /// Rejected attempts to run quarantined requests.
     pub quarantine_rejections: Counter,
-    /// Times that an upstream has asked for backoff.
+    /// Backoffs requested by upstreams.
     pub upstream_backoffs: Counter,
     /// Requests denied a permit by an upstream's rate limit.
     pub rate_limit_denied: Counter,
-    /// Queries to owners of rate limits without an answer in time.
+    /// Queries to owners of rate limits that timed out.
     pub rate_limit_timeouts: Counter,
     /// Permits decided by this box's own share of a rate limit.
     pub rate_limit_decided_locally: Counter,
@@ -64,20 +64,20 @@
     pub store_calls: Counter,
     /// Calls to the store that failed.
     pub store_failures: Counter,
-    /// 1 at the relay node of a hall, else 0.
+    /// 1 if the box is the relay node of its data hall, else 0.
     pub relay_node: Gauge,
-    /// Transfers of what the store holds from other boxes.
+    /// Transfers of the store's items from other boxes.
     pub transfers: Counter,
-    /// Datagrams of messages to all boxes, those that were handed on with them.
+    /// Datagrams sent for broadcasts, including forwarded ones.
     pub broadcast_datagrams: Counter,
     /// Era of the store.
     pub store_era: Gauge,
-    /// Version of the configuration in force.
+    /// Version of the active configuration.
     pub configuration_version: Gauge,
     registry: Registry,
 }
 
-/// First bucket of the latency histogram, in seconds, the factor between buckets and their number.
+/// Buckets of the latency histogram: upper bound of the first one in seconds, growth factor, and number.
 const FIRST_BYTE_BUCKETS: (f64, f64, u16) = (0.005, 2.0, 12);
 
 impl Default for Metrics {
@@ -109,47 +109,43 @@
         let broadcast_datagrams = Counter::default();
         let store_era = Gauge::default();
         let configuration_version = Gauge::default();
-        registry.register("requests", "Requests by ending", requests.clone());
+        registry.register("requests", "Finished requests by outcome", requests.clone());
         registry.register("first_byte_seconds", "Time to the first byte", first_byte.clone());
-        registry.register("retries", "Sends beyond the first", retries.clone());
-        registry.register(
-            "strange",
-            "Datagrams that were refused",
-            rejected_datagrams.clone(),
-        );
+        registry.register("retries", "Retries", retries.clone());
+        registry.register("strange", "Rejected datagrams", rejected_datagrams.clone());
         registry.register(
             "unadvised",
-            "Questions to accounts of engines without an answer in time",
+            "Queries to engine accounts that timed out",
             account_timeouts.clone(),
         );
         registry.register(
             "limit_refused",
-            "Requests beyond their customers' limits",
+            "Requests rejected because of their customers' quotas",
             quota_exceeded.clone(),
         );
         registry.register(
             "limit_unanswered",
-            "Charges to accounts of customers without an answer in time",
+            "Charges to customers' quotas that timed out",
             quota_timeouts.clone(),
         );
         registry.register(
             "limit_alone",
-            "Requests judged by this box's own share of a limit",
+            "Requests decided by this box's own share of a quota",
             quota_decided_locally.clone(),
         );
         registry.register(
             "poisonous",
-            "Requests that were quarantined as they crash engines",
+            "Requests quarantined because they crash engines",
             requests_quarantined.clone(),
         );
         registry.register(
             "quarantined",
-            "Tries of such requests that were refused",
+            "Rejected attempts to run quarantined requests",
             quarantine_rejections.clone(),
         );
         registry.register(
             "upstream_backoffs",
-            "Times that an upstream asked for backoff",
+            "Backoffs requested by upstreams",
             upstream_backoffs.clone(),
         );
         registry.register(
@@ -159,7 +155,7 @@
         );
         registry.register(
             "rate_limit_unanswered",
-            "Queries to owners of rate limits without an answer in time",
+            "Queries to owners of rate limits that timed out",
             rate_limit_timeouts.clone(),
         );
         registry.register(
@@ -169,7 +165,7 @@
         );
         registry.register(
             "upstream_connections",
-            "Connections opened",
+            "Connections opened to upstreams",
             connections_opened.clone(),
         );
         registry.register(
@@ -177,7 +173,11 @@
             "Calls to the platform's store",
             store_calls.clone(),
         );
-        registry.register("store_failures", "Calls that failed", store_failures.clone());
+        registry.register(
+            "store_failures",
+            "Calls to the platform's store that failed",
+            store_failures.clone(),
+        );
         registry.register(
             "relay_node",
             "Whether the box is a relay node",
@@ -186,13 +186,17 @@
         registry.register("transfers", "Transfers from other boxes", transfers.clone());
         registry.register(
             "broadcasts",
-            "Datagrams of messages to all boxes",
+            "Datagrams sent for broadcasts",
             broadcast_datagrams.clone(),
         );
-        registry.register("store_era", "Times the store was restored", store_era.clone());
+        registry.register(
+            "store_era",
+            "Era of the store: how often it was restored",
+            store_era.clone(),
+        );
         registry.register(
             "configuration_version",
-            "Version in force",
+            "Version of the active configuration",
             configuration_version.clone(),
         );
         Self {
@@ -224,17 +228,17 @@
 }
 
 impl Metrics {
-    /// Counts one ended request.
+    /// Counts a finished request.
     pub fn count_outcome(&self, ending: &'static str, status: u16) {
         self.requests
             .get_or_create(&OutcomeLabels { ending, status })
             .inc();
     }
 
-    /// All metrics in the text format.
+    /// Encodes all metrics in the Prometheus text format.
     ///
     /// # Errors
-    /// Never for these metrics; the encoder's interface allows one.
+    /// Never for these metrics; the interface of the encoder requires the result type.
     pub fn encode_text(&self) -> Result<String, std::fmt::Error> {
         let mut text = String::new();
         encode(&mut text, &self.registry)?;
--- a/crates/jb-relay/src/mirror.rs
+++ b/crates/jb-relay/src/mirror.rs
@@ -1,10 +1,10 @@
-//! What the store holds, as far as this box has read it.
+//! Local copy of the store's items.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::port::{Change, Revision};
 
-/// Items of the store, by key.
+/// Local copy of the store's items, by key.
 #[derive(Debug, Default)]
 pub struct Mirror {
     items: BTreeMap<String, Change>,
@@ -12,7 +12,7 @@
 }
 
 impl Mirror {
-    /// Applies a change, unless a later one of the same item is known.
+    /// Applies a change unless a later one of the same item has been applied.
     pub fn apply(&mut self, change: &Change) {
         let known = self.items.get(&change.key).map(|known| known.revision);
         if known > Some(change.revision) {
@@ -28,34 +28,34 @@
         self.bytes -= before.as_ref().map_or(0, length);
     }
 
-    /// Returns the removal of each item that isn't among `all`, which is everything that the store holds.
-    pub fn missing(&self, all: &[Change], revision: Revision) -> Vec<Change> {
+    /// Returns a deletion for each local item that isn't among `all`, the complete items of the store.
+    pub fn deletions(&self, all: &[Change], revision: Revision) -> Vec<Change> {
         let there: BTreeSet<&str> = all.iter().map(|change| change.key.as_str()).collect();
         let missing = self.items.keys().filter(|key| !there.contains(key.as_str()));
-        let removal = |key: &String| Change {
+        let deletion = |key: &String| Change {
             key: key.clone(),
             value: None,
             revision,
         };
-        missing.map(removal).collect()
+        missing.map(deletion).collect()
     }
 
-    /// Items, in the order of their keys.
+    /// Returns the items in key order.
     pub fn items(&self) -> impl Iterator<Item = &Change> {
         self.items.values()
     }
 
-    /// Number of items.
+    /// Returns the number of items.
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Returns whether it holds nothing.
+    /// Returns whether there are no items.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// Bytes of all keys and values.
+    /// Returns the total size of all keys and values, in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
--- a/crates/jb-relay/src/quarantine.rs
+++ b/crates/jb-relay/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! What this box knows of poison requests, and the evidence that it has to publish.
+//! Evidence on requests that crash engines ("poison requests"), and the updates to publish to other boxes.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -13,25 +13,25 @@
 use crate::core::{Core, Shared};
 use crate::upstream::Instance;
 
-/// Evidence to publish on one request.
+/// New evidence on one request, to be published to other boxes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EvidenceUpdate {
-    /// The request.
+    /// Content hash of the request.
     pub content: Content,
-    /// A trial that this box has begun or ended, if there is one.
+    /// Trial that this box has started or ended, if any.
     pub trial: Option<Trial>,
 }
 
-/// A trial of a suspect at an engine.
+/// An isolated trial of a suspect request at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trial {
     /// Short name of the engine.
     pub engine: Engine,
-    /// Whether it is over.
+    /// Whether the trial has ended.
     pub over: bool,
 }
 
-/// Poison requests and suspects.
+/// Known poison requests and suspects.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     ledger: RefCell<Ledger>,
@@ -40,23 +40,23 @@
 }
 
 impl Quarantine {
-    /// Whether nothing is known of any request.
+    /// Returns whether there is no evidence on any request.
     pub fn is_empty(&self) -> bool {
         self.ledger.borrow().is_empty()
     }
 
-    /// What is known.
+    /// Returns the evidence on all requests.
     pub fn ledger(&self) -> std::cell::Ref<'_, Ledger> {
         self.ledger.borrow()
     }
 
-    /// Waits for evidence to publish.
+    /// Waits for updates to publish, and takes them.
     pub async fn next_updates(&self) -> Vec<EvidenceUpdate> {
         self.wake.notified().await;
         std::mem::take(&mut *self.updates.borrow_mut())
     }
 
-    /// Forgets what is old.
+    /// Removes expired evidence.
     pub fn expire(&self, now: Moment) {
         self.ledger.borrow_mut().forget(now);
     }
@@ -69,7 +69,7 @@
         self.wake.notify_one();
     }
 
-    /// Applies a trial of another box.
+    /// Applies the start or end of another box's trial.
     pub fn apply_trial(&self, content: Content, trial: Trial, now: Moment) {
         let mut ledger = self.ledger.borrow_mut();
         if trial.over {
@@ -80,17 +80,17 @@
     }
 }
 
-/// Name under which boxes speak of a life.
+/// Returns the short name of an engine instance in messages between boxes.
 pub fn engine_name(instance: &Instance) -> Engine {
     place::short(instance.name())
 }
 
-/// Notes that an engine has ended while it ran a request; `apart`: as the only suspect there.
+/// Records that an engine crashed while it executed a request; `isolated` if the request was in an isolated trial.
 pub fn note_crash(core: &Core, content: Content, instance: &Instance, isolated: bool) {
     note(core, content, Evidence::of_end(engine_name(instance), isolated));
 }
 
-/// Notes that an engine has run a request to a good end, where that is evidence.
+/// Records that an engine executed a request without a crash, if there is evidence against the request.
 pub fn note_success(core: &Core, content: Content, instance: &Instance) {
     if core.quarantine.ledger().knows(content) {
         note(core, content, Evidence::of_run(engine_name(instance)));
@@ -108,7 +108,7 @@
     }
 }
 
-/// Applies evidence of this box or of another one; returns whether it is new.
+/// Applies evidence from this box or another one; returns whether it is new.
 pub fn apply_evidence(core: &Core, row: &Row) -> bool {
     let change = core.quarantine.ledger.borrow_mut().take(row, core.now());
     if let Some(change) = change {
@@ -139,14 +139,14 @@
     }
 }
 
-/// A try of a suspect, which is over when dropped.
+/// A running trial of a suspect request; dropping it ends the trial.
 pub struct TrialGuard {
     core: Shared,
     content: Content,
     engine: Engine,
 }
 
-/// Begins a try of a suspect at an engine.
+/// Starts a trial of a suspect request at an engine.
 pub fn begin_trial(core: &Shared, content: Content, instance: &Instance) -> TrialGuard {
     let engine = engine_name(instance);
     let now = core.now();
--- a/crates/jb-relay/src/ready.rs
+++ b/crates/jb-relay/src/ready.rs
@@ -1,4 +1,4 @@
-//! Readiness for the balancer in front of the boxes, and the metrics page.
+//! Readiness check for the load balancer in front of the boxes, and the metrics endpoint.
 
 use std::time::Duration;
 
@@ -9,37 +9,41 @@
 use crate::core::{Core, Shared};
 use crate::http::{Connection, Framing, write_answer};
 
-/// Longest head of a check, in bytes.
-const LONGEST_HEAD: usize = 4096;
-/// Rest of a connection of the balancer.
-const REST: Duration = Duration::from_secs(10);
-/// Part of the bound on keys after which the box calls itself not ready.
-const STALE_SHARE: f64 = 0.7;
-/// Path of the metrics.
-const METRICS: &[u8] = b"/metrics";
+/// Upper bound on the head of a check, in bytes.
+const MAX_HEAD_BYTES: usize = 4096;
+/// Time after which an idle connection of the load balancer is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Part of the maximum revocation delay after which a box without updates reports that it isn't ready.
+const UNREADY_AGE_SHARE: f64 = 0.7;
+/// Path of the metrics endpoint.
+const METRICS_PATH: &[u8] = b"/metrics";
 
-/// Whether the box can serve new callers.
+/// Returns whether the box should receive new callers.
 ///
-/// A box that reads the store only through others answers those who come, and leaves new
-/// ones to boxes with a path of their own, which know sooner. On a day on which three of eight boxes
-/// were turned away for twelve seconds that is 25 +- 10 fewer refusals of 4,500 (twelve seeds); its
-/// worst seconds did not gain by it.
+/// A box that receives updates of the store only through other boxes serves requests that arrive, but reports that
+/// it isn't ready, as boxes with direct access to the store have newer state. With three of eight boxes cut off from
+/// the store for twelve seconds, this saved 25 +- 10 of 4,500 rejections over twelve seeds; the seconds with the
+/// most rejections did not improve.
 pub fn is_ready(core: &Core) -> bool {
-    let fresh = core
-        .direct_state_age()
-        .is_some_and(|age| age < core.settings.bounds.max_revocation_delay.mul_f64(STALE_SHARE));
+    let fresh = core.direct_state_age().is_some_and(|age| {
+        age < core
+            .settings
+            .bounds
+            .max_revocation_delay
+            .mul_f64(UNREADY_AGE_SHARE)
+    });
     fresh && core.configuration().is_some() && !core.stop.is_stopping()
 }
 
-/// Answers checks for ever.
+/// Serves checks and metrics until the task is dropped.
 pub async fn serve(core: Shared, listener: TcpListener) {
     accept::serve(core, listener, connection).await;
 }
 
 async fn connection(core: Shared, stream: TcpStream) {
     let mut client = Connection::new(stream);
-    while let Ok(Ok(query)) = timeout(REST, client.query(LONGEST_HEAD)).await {
-        let (status, text) = if query.path() == METRICS {
+    while let Ok(Ok(query)) = timeout(IDLE_TIMEOUT, client.query(MAX_HEAD_BYTES)).await {
+        let (status, text) = if query.path() == METRICS_PATH {
             (200, core.metrics.encode_text().unwrap_or_default())
         } else if is_ready(&core) {
             (200, String::new())
--- a/crates/jb-relay/src/restart.rs
+++ b/crates/jb-relay/src/restart.rs
@@ -1,4 +1,4 @@
-//! Restarts of upstreams that something other than the store shows.
+//! Restarts of upstreams that are detected otherwise than through the store.
 
 use jb_protocol::{emit, event};
 
@@ -7,7 +7,7 @@
 use crate::port::StartTime;
 use crate::upstream::{Ended, Instance};
 
-/// Ends an instance: the upstream has started again at `started_at`.
+/// Removes an instance whose upstream has restarted at `started_at`.
 pub fn note(core: &Core, instance: &Instance, started_at: Option<StartTime>, evidence: &'static str) {
     let ended = core.upstreams.borrow_mut().end(instance);
     let Some(ended) = ended else { return };
@@ -22,7 +22,7 @@
     }
 }
 
-/// Logs a restart.
+/// Logs a restart with the evidence for it.
 pub fn log(
     core: &Core,
     instance: &Instance,
--- a/crates/jb-relay/src/restore.rs
+++ b/crates/jb-relay/src/restore.rs
@@ -1,6 +1,6 @@
-//! A restore of the store from a copy, as a box has noticed it.
+//! A restore of the store from a backup, as seen by a box.
 //!
-//! What the boxes wrote since the copy is lost; the operator and the upstreams write theirs again.
+//! What the boxes wrote since the backup is lost; the operator and the upstreams write their items again.
 
 use std::time::Duration;
 
@@ -8,23 +8,23 @@
 
 use crate::port::Era;
 
-/// Time in which the operator and the upstreams write again what the store has lost, by the platform's contract
+/// Time within which the operator and the upstreams have written their lost items again; the platform guarantees
 /// about two seconds.
 pub const REWRITE_TIME: Duration = Duration::from_millis(2300);
 
-/// A restore of the store.
+/// A restore of the store from a backup.
 #[derive(Clone, Copy, Debug)]
 pub struct Restore {
-    /// Era that it began.
+    /// Era that began with the restore.
     pub era: Era,
     /// When this box noticed it.
     pub noticed_at: Moment,
-    /// When what the box knew before was last proven.
+    /// When the box's state before the restore was last verified.
     pub verified_at: Option<Moment>,
 }
 
 impl Restore {
-    /// When everything has been written again.
+    /// Returns when all lost items have been written again.
     pub fn settles_at(&self) -> Moment {
         self.noticed_at + REWRITE_TIME
     }
--- a/crates/jb-relay/src/salt.rs
+++ b/crates/jb-relay/src/salt.rs
@@ -1,28 +1,29 @@
-//! The text under which engines keep the parts of prompts, and the number of each part.
+//! Salts under which engines cache prompt segments, and the ids of segments.
 //!
-//! The version in the text keeps apart what was read under other weights, also where parts are
-//! brought from elsewhere.
+//! The salt contains the weights version, so that segments computed with other weights are never used, even if they
+//! are transferred from another engine or a cache store.
 
 use jb_policy::place;
 use jb_policy::prefix_cache::SegmentId;
 use jb_policy::weights::Version;
 
-/// Between the customer's part of the text and the version.
-const BETWEEN: &str = " v";
+/// Separator between the customer's salt and the version.
+const VERSION_SEPARATOR: &str = " v";
 
-/// Text for weights of a version.
+/// Appends the weights version to a customer's salt; 0 if there is none.
 pub fn encode(salt: &str, version: Option<Version>) -> String {
-    format!("{salt}{BETWEEN}{}", version.unwrap_or_default())
+    format!("{salt}{VERSION_SEPARATOR}{}", version.unwrap_or_default())
 }
 
-/// The two halves of a text that a box has made.
+/// Splits a salt into the customer's salt and the version; `None` if [`encode`] didn't create it.
 pub fn decode(text: &str) -> Option<(&str, Version)> {
-    let (salt, version) = text.rsplit_once(BETWEEN)?;
+    let (salt, version) = text.rsplit_once(VERSION_SEPARATOR)?;
     Some((salt, version.parse().ok()?))
 }
 
-/// Number of a part by its id, apart for customers that share nothing.
-pub fn part(id: &str, salt: &str) -> SegmentId {
+/// Returns the id of a segment within the cache model: the caller's id hashed with the customer's salt, so that
+/// customers with isolated caches share no ids.
+pub fn segment_id(id: &str, salt: &str) -> SegmentId {
     let number = u64::from_str_radix(id, 16).unwrap_or_else(|_| place::name_hash(id));
     place::weight(number, place::name_hash(salt))
 }
--- a/crates/jb-relay/src/settings.rs
+++ b/crates/jb-relay/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a box on a platform that gives it its place and its bounds.
+//! Settings of a box, provided by the platform adapter at start.
 
 use std::net::{IpAddr, SocketAddr};
 use std::ops::RangeInclusive;
@@ -7,37 +7,37 @@
 use jb_policy::quota::Tolerance;
 use jb_protocol::id;
 
-/// Everything a box learns about itself at its start.
+/// Settings of a box.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Name of the box.
     pub id: id::Box,
     /// Data hall of the box.
     pub hall: id::Hall,
-    /// Own address.
+    /// IP address of the box.
     pub ip: IpAddr,
-    /// Address for callers.
+    /// Address that callers connect to.
     pub caller_address: SocketAddr,
-    /// Address of the readiness check.
+    /// Address that serves readiness checks and metrics.
     pub readiness_address: SocketAddr,
-    /// Ports free for messages between boxes.
+    /// Ports that may be used for messages between boxes.
     pub peer_ports: RangeInclusive<u16>,
     /// Address of the platform's store.
     pub store_address: SocketAddr,
-    /// Whether the whole system starts for the first time, so that its store can't have been restored.
+    /// Whether the whole system starts for the first time, in which case the store can't have been restored.
     pub is_first_start: bool,
-    /// What a box may use.
+    /// Resource limits of the box.
     pub capacity: Capacity,
-    /// Times and shares that the operators promise their users.
+    /// Delays and tolerances that the operators guarantee to their users.
     pub bounds: Bounds,
 }
 
-/// What a box may use of its machine.
+/// Resource limits of a box.
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity {
     /// Memory of the process, in bytes.
     pub memory_bytes: usize,
-    /// Open files and sockets.
+    /// Upper bound on open files and sockets.
     pub max_descriptors: usize,
     /// Bandwidth of the machine's link, in Mbit/s.
     pub link_mbps: u32,
@@ -53,30 +53,30 @@
     }
 }
 
-/// Times and shares that the operators promise their users; defaults are for tests.
+/// Delays and tolerances that the operators guarantee to their users; the defaults are for tests.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// Time from SIGTERM to SIGKILL.
     pub stop_grace: Duration,
-    /// Time within which a configuration is in force.
+    /// Time within which a new configuration is active on all boxes.
     pub max_config_delay: Duration,
-    /// Time after which a key that was taken away opens nothing.
+    /// Time after which a revoked key is rejected.
     pub max_revocation_delay: Duration,
-    /// Whether the bound on keys holds for boxes that cannot reach the store.
+    /// Whether boxes that can't reach the store reject keys once the revocation delay is over.
     pub strict_revocation: bool,
-    /// Retries that each request of a service brings to all boxes together.
+    /// Retries that each request of a service adds to the budget, for all boxes together.
     pub retry_ratio: f64,
-    /// Retries beyond that in one window, for all boxes together.
+    /// Retries allowed in one window in addition, for all boxes together.
     pub retry_burst: f64,
     /// Window of the retry budget.
     pub retry_window: Duration,
-    /// Least pause between orders of two boxes to one engine.
+    /// Minimum interval between orders of two boxes to one engine.
     pub min_order_interval: Duration,
-    /// Time after which nothing may begin on older weights than the newest named.
+    /// Time after a release in which requests may still start on older weights.
     pub old_weights_grace: Duration,
-    /// What may run beyond a customer's limit.
+    /// How far requests may exceed a customer's quota.
     pub quota_tolerance: Tolerance,
-    /// Pause between two heartbeats of an upstream in the store.
+    /// Interval between two heartbeats of an upstream in the store.
     pub heartbeat_interval: Duration,
 }
 
--- a/crates/jb-relay/src/signal.rs
+++ b/crates/jb-relay/src/signal.rs
@@ -1,8 +1,8 @@
 //! Signals in the response heads of upstreams, parsed in one place and applied in one place.
 //!
-//! Every sender checks the state of the instance before it writes: first sends, retries, resumed streams,
-//! queued requests, once-only requests and suspects (`exchange`), and orders (`leader`). Prompt segments
-//! that another engine transfers from an instance are no requests to it.
+//! Every sender checks the state of the instance before it writes: first attempts, retries, resumed streams,
+//! queued requests, non-idempotent requests and isolated trials (`exchange`), and orders (`leader`). Transfers of
+//! cached segments from an instance to another engine don't count as requests to it.
 
 use std::time::Duration;
 
@@ -17,23 +17,23 @@
 use crate::peers;
 use crate::upstream::Instance;
 
-/// Shortest pause after a rejected request.
+/// Minimum backoff after a rejected request.
 const REJECTION_PAUSE: Duration = Duration::from_millis(150);
-/// Status of a response by another instance, or with other weights, than the request is for.
+/// Status of a response from another instance, or from the right one with other weights than requested.
 const MISDIRECTED: u16 = 421;
 
-/// Head of a response, as far as it concerns the upstream.
+/// Information about the upstream in the head of a response.
 #[derive(Clone, Debug)]
 pub struct ParsedHead {
-    /// Signals that hold beyond this response.
+    /// Signals that apply to later requests too.
     pub signals: Signals,
-    /// Whether the upstream hasn't run the request.
+    /// Whether the upstream rejected the request without executing it.
     pub not_executed: bool,
-    /// Instance that answers, where the head names one.
+    /// Instance that sent the response; only set if the request was misdirected.
     answering_instance: Option<String>,
-    /// Version of the weights behind the response.
+    /// Weights version with which the response was generated.
     answer_weights: Option<u64>,
-    /// Idle time after which the upstream closes the connection.
+    /// Idle time after which the upstream closes the connection, if it states one.
     pub keep_alive_timeout: Option<Duration>,
 }
 
@@ -52,11 +52,11 @@
             .filter(|_| answer.status == MISDIRECTED)
             .map(str::to_owned),
         answer_weights: headers.number(names.answer_weights),
-        keep_alive_timeout: closes_after(answer),
+        keep_alive_timeout: keep_alive_timeout(answer),
     }
 }
 
-fn closes_after(answer: &Answer) -> Option<Duration> {
+fn keep_alive_timeout(answer: &Answer) -> Option<Duration> {
     let value = answer.headers.text("keep-alive")?;
     let named = value
         .split(',')
@@ -65,7 +65,7 @@
 }
 
 impl ParsedHead {
-    /// Whether another instance answers at the address; the same one may only have other weights.
+    /// Returns whether another instance has the address; a misdirected request may also be due to other weights.
     fn is_of_other(&self, instance: &Instance) -> bool {
         self.answering_instance
             .as_ref()
@@ -73,8 +73,8 @@
     }
 }
 
-/// Applies the head of a response to a request that was written at `sent`, before anything else is sent
-/// to the instance and before the caller gets the response.
+/// Applies the head of the response to a request that was written at `sent`. Has to run before anything else
+/// is sent to the instance and before the caller gets the response.
 pub fn apply(core: &Core, instance: &Instance, model: Option<&str>, head: &ParsedHead, sent: Moment) {
     if head.is_of_other(instance) {
         note_replaced(core, instance);
@@ -92,15 +92,16 @@
     }
 }
 
-/// Applies the head of a late response to an earlier request: its weights and free places are outdated.
+/// Applies the head of a late response to an earlier request. Its weights version and remaining rate limit are
+/// outdated and are ignored.
 pub fn apply_late(core: &Core, instance: &Instance, head: &ParsedHead) {
     if !head.is_of_other(instance) {
         apply_signals(core, instance, head.signals, None);
     }
 }
 
-/// Applies the signals of any response; `sent` is when its request was written, where it answers a
-/// request of a caller and that is known.
+/// Applies the signals of a response. `sent` is when the request was written; `None` if that is unknown, or if it
+/// wasn't a caller's request.
 pub fn apply_signals(core: &Core, instance: &Instance, signals: Signals, sent: Option<Moment>) {
     let now = core.now();
     let mut upstreams = core.upstreams.borrow_mut();
@@ -126,7 +127,7 @@
     }
 }
 
-/// Notes that another instance has the address.
+/// Marks an instance as replaced: another one has its address.
 fn note_replaced(core: &Core, instance: &Instance) {
     if let Some(upstream) = core.upstreams.borrow_mut().instance_mut(instance)
         && !upstream.refused
--- a/crates/jb-relay/src/start.rs
+++ b/crates/jb-relay/src/start.rs
@@ -1,4 +1,4 @@
-//! Starts the duties of a box and waits for the planned stop.
+//! Starts the tasks of a box and runs its graceful shutdown.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,22 +15,22 @@
 use crate::settings::Settings;
 use crate::{cache_scan, follow, front, peers, pool, ready, stop};
 
-/// New connections that wait to be accepted.
-const BACKLOG: u32 = 1024;
-/// Pause between sweeps of idle connections.
-const SWEEP: Duration = Duration::from_secs(1);
-/// Shortest suspension that is logged; the two clocks are read one after the other.
-const SUSPENSION: Duration = Duration::from_millis(100);
-/// Part of the grace that is left for the process to end.
-const LAST: Duration = Duration::from_millis(300);
-/// Pause between looks at what is still open in a planned stop.
-const LOOK: Duration = Duration::from_millis(50);
+/// Length of the queue of connections that wait to be accepted.
+const ACCEPT_BACKLOG: u32 = 1024;
+/// Interval of periodic cleanup.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
+/// Shortest suspension that is logged. Shorter ones can be an artefact of reading two clocks one after the other.
+const MIN_LOGGED_SUSPENSION: Duration = Duration::from_millis(100);
+/// Part of the grace period that is reserved for the process to exit.
+const EXIT_RESERVE: Duration = Duration::from_millis(300);
+/// Interval at which a graceful shutdown checks for open connections.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs a box until it is stopped. All duties are tasks of one thread: a box has a part
-/// of one core, so threads would only take turns.
+/// Runs a box until it is stopped. All tasks run on one thread: a box has a fraction of one core, so several
+/// threads would only take turns.
 ///
 /// # Errors
-/// When an address cannot be listened on.
+/// If the box can't listen on one of its addresses.
 pub fn run(parts: Components) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -38,7 +38,7 @@
     LocalSet::new().block_on(&runtime, serve(Core::new(parts)))
 }
 
-/// What a box listens on.
+/// Listening sockets of a box.
 #[derive(Debug)]
 pub struct Listeners {
     callers: TcpListener,
@@ -51,7 +51,7 @@
     /// Binds the addresses of the settings.
     ///
     /// # Errors
-    /// When an address cannot be listened on.
+    /// If the box can't listen on one of them.
     pub async fn new(settings: &Settings) -> std::io::Result<Self> {
         let callers = listen(settings.caller_address)?;
         let checks = listen(settings.readiness_address)?;
@@ -64,18 +64,18 @@
         })
     }
 
-    /// Address for callers.
+    /// Returns the address that callers connect to.
     ///
     /// # Errors
-    /// What the operating system reports.
+    /// If the operating system doesn't report the address.
     pub fn caller_address(&self) -> std::io::Result<SocketAddr> {
         self.callers.local_addr()
     }
 
-    /// Address of the readiness check.
+    /// Returns the address of the readiness check.
     ///
     /// # Errors
-    /// What the operating system reports.
+    /// If the operating system doesn't report the address.
     pub fn readiness_address(&self) -> std::io::Result<SocketAddr> {
         self.checks.local_addr()
     }
@@ -84,12 +84,12 @@
 async fn serve(core: Shared) -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut reload = signal(SignalKind::hangup())?;
-    let bound = Listeners::new(&core.settings).await?;
-    start(&core, bound)?;
+    let listeners = Listeners::new(&core.settings).await?;
+    start(&core, listeners)?;
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            // The settings that a running box uses do not change; the new file counts at its next start.
+            // A running box doesn't reload its settings; a changed file is used from the next start.
             _ = reload.recv() => emit!(core.logger, info, event::SETTINGS_CHANGED),
         }
     }
@@ -97,17 +97,17 @@
     Ok(())
 }
 
-/// Starts all duties on the present [`LocalSet`].
+/// Starts all tasks on the current [`LocalSet`].
 ///
 /// # Errors
-/// What the operating system reports of the addresses.
-pub fn start(core: &Shared, bound: Listeners) -> std::io::Result<()> {
+/// If the operating system doesn't report the addresses of the sockets.
+pub fn start(core: &Shared, listeners: Listeners) -> std::io::Result<()> {
     let Listeners {
         callers,
         checks,
         socket,
         transfers,
-    } = bound;
+    } = listeners;
     let port = socket.local_addr()?.port();
     core.peer_port.get_or_init(|| port);
     if !core.clock.counts_suspensions() {
@@ -136,33 +136,33 @@
 async fn sweep(core: Shared) {
     let mut suspended = core.clock.suspended();
     loop {
-        sleep(SWEEP).await;
+        sleep(CLEANUP_INTERVAL).await;
         suspended = note_suspension(&core, suspended);
         pool::close_expired(&core);
         peers::sweep(&core);
     }
 }
 
-/// Logs a suspension of the machine since the last look. Nothing waits for it: what the box knows
-/// is judged by its age whenever it is used.
+/// Logs a suspension of the machine since the last check. Nothing else has to react to it: the age of the state is
+/// checked whenever the state is used.
 fn note_suspension(core: &Core, before: Duration) -> Duration {
     let suspended = core.clock.suspended();
     let new = suspended.saturating_sub(before);
-    if new >= SUSPENSION {
+    if new >= MIN_LOGGED_SUSPENSION {
         emit!(core.logger, warn, event::BOX_SUSPENDED, "ms" => new.as_millis() as u64,
             "all_ms" => suspended.as_millis() as u64);
     }
     suspended
 }
 
-/// Answers everything that is open, then returns.
+/// Finishes the open requests within the grace period, then returns.
 pub async fn shut_down(core: &Shared) {
     let since = core.now();
     core.stop.begin(since);
     emit!(core.logger, info, event::BOX_STOPPING, "open" => core.stop.connections());
-    let end = (since + core.settings.bounds.stop_grace).saturating_sub(LAST);
+    let end = (since + core.settings.bounds.stop_grace).saturating_sub(EXIT_RESERVE);
     loop {
-        sleep(LOOK).await;
+        sleep(STOP_POLL_INTERVAL).await;
         let now = core.now();
         let idle = core.stop.is_done() && now > since + stop::UNREADY_NOTICE_TIME;
         if idle || now > end {
@@ -180,5 +180,5 @@
     };
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(ACCEPT_BACKLOG)
 }
--- a/crates/jb-relay/src/stop.rs
+++ b/crates/jb-relay/src/stop.rs
@@ -1,4 +1,4 @@
-//! Planned stop: unready at once, everything open is answered, then the end.
+//! Graceful shutdown: the box reports that it isn't ready, finishes open requests, and exits.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use jb_policy::Moment;
 use tokio::sync::Notify;
 
-/// Time in which the balancer notices that the box is not ready, with a second to spare.
+/// Time within which the load balancer notices that the box isn't ready, plus a margin of a second.
 pub const UNREADY_NOTICE_TIME: Duration = Duration::from_millis(3200);
 
-/// Progress of a planned stop.
+/// Progress of a graceful shutdown.
 #[derive(Debug, Default)]
 pub struct Stop {
     since: Cell<Option<Moment>>,
@@ -19,52 +19,52 @@
 }
 
 impl Stop {
-    /// Begins the stop.
+    /// Starts the shutdown.
     pub fn begin(&self, now: Moment) {
         self.since.set(Some(now));
         self.changed.notify_waiters();
     }
 
-    /// When the stop began.
+    /// Returns when the shutdown started; `None` before it.
     pub fn since(&self) -> Option<Moment> {
         self.since.get()
     }
 
-    /// Whether the stop has begun.
+    /// Returns whether the shutdown has started.
     pub fn is_stopping(&self) -> bool {
         self.since.get().is_some()
     }
 
-    /// Waits until the stop has begun.
+    /// Waits until the shutdown has started.
     pub async fn wait_begun(&self) {
         while !self.is_stopping() {
             self.changed.notified().await;
         }
     }
 
-    /// Notes whether the box has a duty of the fleet to finish or hand over.
+    /// Sets whether the box is the leader and has to finish or hand over its term before it exits.
     pub fn set_leading(&self, held: bool) {
         self.leading.set(held);
     }
 
-    /// Whether nothing keeps the box from ending.
+    /// Returns whether the box can exit: no connection is open, and the box isn't the leader.
     pub fn is_done(&self) -> bool {
         self.connections.get() == 0 && !self.leading.get()
     }
 
-    /// Connections of callers that are open.
+    /// Returns the number of open connections of callers.
     pub fn connections(&self) -> usize {
         self.connections.get()
     }
 
-    /// Counts a connection of a caller until the guard is dropped.
+    /// Counts a caller's connection as open until the guard is dropped.
     pub fn track_connection(&self) -> ConnectionGuard<'_> {
         self.connections.set(self.connections.get() + 1);
         ConnectionGuard { stop: self }
     }
 }
 
-/// Counts one connection.
+/// Counts one open connection.
 #[derive(Debug)]
 pub struct ConnectionGuard<'a> {
     stop: &'a Stop,
--- a/crates/jb-relay/src/unknown_signals.rs
+++ b/crates/jb-relay/src/unknown_signals.rs
@@ -1,7 +1,7 @@
-//! Signals of upstreams that this version doesn't know.
+//! Signals of upstreams that this version doesn't support.
 //!
-//! Such a header is passed on to the caller like any other. It is logged once, so that operators notice
-//! that upstreams ask for something.
+//! Such a header is forwarded to the caller like any other. It is logged once, so that operators notice that
+//! upstreams send a signal without effect.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -12,29 +12,29 @@
 use crate::http::Headers;
 use crate::upstream::Instance;
 
-/// Names that are remembered; more aren't logged.
+/// Upper bound on the names that are remembered; further ones aren't logged.
 const MAX_NAMES: usize = 32;
 
-/// Names of the unknown signals that were logged, in lower case.
+/// Names of the unsupported signals that were logged, in lower case.
 #[derive(Debug, Default)]
 pub struct UnknownSignals {
     names: RefCell<BTreeSet<String>>,
 }
 
 impl UnknownSignals {
-    /// Remembers a name; returns whether it is new.
+    /// Remembers a name; returns whether it is new and there was room for it.
     fn insert(&self, name: String) -> bool {
         let mut names = self.names.borrow_mut();
         names.len() < MAX_NAMES && names.insert(name)
     }
 
-    /// Names that were logged, in lower case.
+    /// Returns the names that were logged, in lower case.
     pub fn names(&self) -> Vec<String> {
         self.names.borrow().iter().cloned().collect()
     }
 }
 
-/// Logs the signals in a response head that have no meaning to this version.
+/// Logs the signals in a response head that this version doesn't support.
 pub fn note(core: &Core, instance: &Instance, headers: &Headers) {
     for header in &headers.0 {
         let Some(name) = unknown(core, &header.name) else {
@@ -48,7 +48,7 @@
     }
 }
 
-/// Name of a header in lower case, if it is a signal that this version doesn't know.
+/// Returns the name of a header in lower case if it is a signal that this version doesn't support.
 fn unknown(core: &Core, name: &[u8]) -> Option<String> {
     let prefix = core.header_names.signal_prefix;
     let is_signal = name
