--- a/crates/jb-relay/src/attempt.rs
+++ b/crates/jb-relay/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one upstream, up to the head of its answer.
+//! One attempt to send a request to an upstream, up to the head of the response.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,163 +10,170 @@
 use crate::admission::AdmittedRequest;
 use crate::core::{Core, Shared};
 use crate::http::{self, BodyDecoder, Framing, RequestHead, ResponseHead, Step, write_request_head};
-use crate::link::{self, Link};
 use crate::peers::Permit;
+use crate::pool::{self, PooledConnection};
 use crate::port::Entry;
-use crate::signal::{self, Head};
+use crate::signal::{self, ParsedHead};
 use crate::upstream::Instance;
 use crate::{salt, unknown_signals};
 
-/// Largest response head, in bytes.
+/// Upper bound on a response head.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// Responses to other requests that are skipped before the own one.
-const MAX_FOREIGN: u32 = 4;
-/// Largest response to another request that is skipped, in bytes.
-const MAX_FOREIGN_BYTES: usize = 256 * 1024;
-/// Part of the remaining time that is reserved for the way of the response back.
+/// Responses to earlier requests that are skipped before the one to this request.
+const MAX_SKIPPED_RESPONSES: u32 = 4;
+/// Upper bound on the body of a skipped response.
+const MAX_SKIPPED_BODY_BYTES: usize = 256 * 1024;
+/// Part of the remaining time that is reserved for the way of the response back to the caller.
 const RETURN_LATENCY: Duration = Duration::from_millis(5);
 
-/// What a send came to.
-pub enum Outcome {
-    /// Nothing was sent.
+/// Result of an attempt.
+pub enum AttemptOutcome {
+    /// Nothing was sent; the reason.
     Unsent(String),
-    /// Nothing was sent, as the upstream drains, backs off or is limited by now.
+    /// Nothing was sent, as the upstream has begun to drain, back off or limit its rate since it was selected.
     Withdrawn,
-    /// The upstream hasn't run the request.
+    /// The upstream rejected the request without executing it; the status.
     NotRun(u16),
-    /// The request may have run; nothing of an answer can be used.
+    /// The request may have been executed, and there is no usable response; the reason.
     Failed(String),
-    /// An answer of the upstream to this request.
+    /// The upstream's response.
     Answered(Box<Reply>),
 }
 
-/// An answer with the connection that its body comes on.
+/// A response head with the connection from which the body is read.
 pub struct Reply {
-    /// Head.
+    /// Response head.
     pub answer: ResponseHead,
-    /// Body.
+    /// State of the body's decoder.
     pub body: BodyDecoder,
-    /// Connection.
-    pub link: Link,
-    /// Whether the connection may be reused afterwards.
-    pub clean: bool,
-    /// Idle time after which the upstream closes the connection.
-    pub closes_after: Option<Duration>,
+    /// Connection that the body is read from.
+    pub pooled: PooledConnection,
+    /// Whether the connection may be reused after the body.
+    pub reusable: bool,
+    /// Idle time after which the upstream closes the connection, if it states one.
+    pub keep_alive_timeout: Option<Duration>,
 }
 
-/// A request with its body, ready to be sent as often as it takes.
+/// A request with its body, which can be sent several times.
 pub struct Message<'a> {
-    /// Head.
-    pub query: &'a RequestHead,
-    /// Body.
+    /// Request head from the caller.
+    pub head: &'a RequestHead,
+    /// Whole request body.
     pub body: &'a Bytes,
-    /// Its facts.
+    /// Properties determined at admission.
     pub request: &'a AdmittedRequest,
-    /// Last event that the caller has, where a stream goes on.
+    /// Last event that the caller has received; set when a stream is resumed.
     pub last_event: Option<u64>,
-    /// Where the engine takes parts of the prompt from that it lacks.
-    pub source: Option<SocketAddr>,
-    /// Store that the engine sends the prompt's parts to once they are read.
-    pub store: Option<SocketAddr>,
+    /// Engine or cache store from which the engine loads segments that it hasn't cached.
+    pub kv_source: Option<SocketAddr>,
+    /// Cache store to which the engine writes the prompt's segments after prefill.
+    pub kv_target: Option<SocketAddr>,
 }
 
 impl Message<'_> {
-    /// What it asks, as other boxes and later tries of its caller name it.
+    /// Returns the hash of the content, which is the same on other boxes and for the caller's retries.
     pub fn content(&self) -> Fingerprint {
-        let host = self.query.headers.get("host").unwrap_or_default();
+        let host = self.head.headers.get("host").unwrap_or_default();
         let caller = self.request.customer.as_deref().unwrap_or_default();
-        Fingerprint::new(caller, &[host, &self.query.target], self.body)
+        Fingerprint::new(caller, &[host, &self.head.target], self.body)
     }
 }
 
-/// Sends a request and waits for the head of its answer.
-pub async fn send(core: &Shared, instance: &Instance, message: &Message<'_>, permit: Permit) -> Outcome {
+/// Sends a request and waits for the head of the response.
+pub async fn send(
+    core: &Shared,
+    instance: &Instance,
+    message: &Message<'_>,
+    permit: Permit,
+) -> AttemptOutcome {
     let entry = core
         .upstreams
         .borrow()
         .instance(instance)
         .map(|upstream| upstream.entry.clone());
     let Some(entry) = entry else {
-        return Outcome::Unsent("the upstream has gone".to_owned());
+        return AttemptOutcome::Unsent("the upstream is no longer registered".to_owned());
     };
     let once = !message.request.route.is_retryable();
-    let mut link = match link::take(core, instance, once).await {
-        Ok(link) => link,
+    let mut pooled = match pool::checkout(core, instance, once).await {
+        Ok(pooled) => pooled,
         Err(why) => {
-            note_unreached(core, &entry, instance, &why);
-            return Outcome::Unsent(why.to_string());
+            note_connect_timeout(core, &entry, instance, &why);
+            return AttemptOutcome::Unsent(why.to_string());
         }
     };
-    if !core.takes_requests(instance, permit) {
-        link::give(core, link, None);
-        return Outcome::Withdrawn;
+    if !core.accepts_requests(instance, permit) {
+        pool::put_back(core, pooled, None);
+        return AttemptOutcome::Withdrawn;
     }
     let head = head(core, &instance.id, &entry, message);
-    let mut clean = true;
+    let mut reusable = true;
     let sent = core.now();
-    match exchange(&mut link, &head, message.body, &mut clean).await {
+    match write_request(&mut pooled, &head, message.body, &mut reusable).await {
         Ok(()) => {}
-        Err(why) => return Outcome::Failed(why.to_string()),
+        Err(why) => return AttemptOutcome::Failed(why.to_string()),
     }
-    match own_answer(core, instance, &mut link, message.request, sent, &mut clean).await {
+    match read_response(core, instance, &mut pooled, message.request, sent, &mut reusable).await {
         Ok((answer, head)) => {
             if entry.hall != core.settings.hall {
-                core.reach.borrow_mut().note_answer(&entry.hall, core.now());
+                core.hall_reachability
+                    .borrow_mut()
+                    .note_answer(&entry.hall, core.now());
             }
-            judge(core, answer, &head, link, clean).await
+            classify(core, answer, &head, pooled, reusable).await
         }
-        Err(why) => Outcome::Failed(why.to_string()),
+        Err(why) => AttemptOutcome::Failed(why.to_string()),
     }
 }
 
-/// Notes a connection to another data hall that timed out. A refused one shows that the hall is reachable.
-fn note_unreached(core: &Core, entry: &Entry, instance: &Instance, why: &link::Error) {
-    if entry.hall != core.settings.hall && matches!(why, link::Error::Silent(_)) {
-        core.reach
+/// Records a timed-out connection to another data hall. A refused connection shows that the hall is reachable.
+fn note_connect_timeout(core: &Core, entry: &Entry, instance: &Instance, why: &pool::Error) {
+    if entry.hall != core.settings.hall && matches!(why, pool::Error::TimedOut(_)) {
+        core.hall_reachability
             .borrow_mut()
             .note_timeout(&entry.hall, instance.name(), core.now());
     }
 }
 
-/// The head as the upstream gets it.
+/// Builds the request head for the upstream.
 fn head(core: &Core, instance: &str, entry: &Entry, message: &Message<'_>) -> BytesMut {
-    let names = &core.names;
+    let names = &core.header_names;
     let request = message.request;
     let left = request
-        .until
+        .deadline
         .saturating_sub(core.now() + RETURN_LATENCY)
         .as_millis()
         .to_string();
     let urgency = request.urgency.to_string();
     let last = message.last_event.map(|last| last.to_string());
-    let mut own: Vec<(&[u8], &[u8])> = vec![
+    let mut added: Vec<(&[u8], &[u8])> = vec![
         (names.deadline.as_bytes(), left.as_bytes()),
-        (names.incarnation.as_bytes(), instance.as_bytes()),
+        (names.expected_instance.as_bytes(), instance.as_bytes()),
     ];
     if let Some(customer) = &request.customer {
-        own.push((names.customer.as_bytes(), customer.as_bytes()));
+        added.push((names.customer.as_bytes(), customer.as_bytes()));
     }
-    // The engine confirms the version.
+    // The engine rejects the request if it has another version of the weights.
     let weights = entry.weights(request.model.as_deref().unwrap_or_default());
     let version = weights.map(|version| version.to_string());
-    let salt = salt::encode(&request.salt, weights);
-    let source = message.source.map(|source| source.to_string());
-    let store = message.store.map(|store| store.to_string());
+    let salt = salt::encode(&request.cache_salt, weights);
+    let source = message.kv_source.map(|source| source.to_string());
+    let store = message.kv_target.map(|store| store.to_string());
     if let Some(version) = &version {
-        own.push((names.weights.as_bytes(), version.as_bytes()));
-        own.push((names.salt.as_bytes(), salt.as_bytes()));
-        own.push((names.urgency.as_bytes(), urgency.as_bytes()));
+        added.push((names.expected_weights.as_bytes(), version.as_bytes()));
+        added.push((names.cache_salt.as_bytes(), salt.as_bytes()));
+        added.push((names.urgency.as_bytes(), urgency.as_bytes()));
         if let Some(source) = &source {
-            own.push((names.import.as_bytes(), source.as_bytes()));
+            added.push((names.kv_source.as_bytes(), source.as_bytes()));
         }
         if let Some(store) = &store {
-            own.push((names.export.as_bytes(), store.as_bytes()));
+            added.push((names.kv_target.as_bytes(), store.as_bytes()));
         }
     }
     if let Some(last) = &last {
-        own.push((names.last_event.as_bytes(), last.as_bytes()));
+        added.push((names.last_event.as_bytes(), last.as_bytes()));
     }
-    let replaced = |name: &[u8]| {
+    let is_replaced = |name: &[u8]| {
         let reserved = names
             .reserved
             .iter()
@@ -175,36 +182,45 @@
             || name.eq_ignore_ascii_case(names.deadline.as_bytes())
             || (last.is_some() && name.eq_ignore_ascii_case(names.last_event.as_bytes()))
     };
-    let passed = message.query.headers.end_to_end().filter(|h| !replaced(&h.name));
-    let lines = passed.map(|h| (h.name.as_ref(), h.value.as_ref())).chain(own);
-    let bodiless = message.body.is_empty() && message.query.framing == Framing::Length(0);
-    let stated = message.query.headers.get("content-length").is_some();
+    let passed = message
+        .head
+        .headers
+        .end_to_end()
+        .filter(|h| !is_replaced(&h.name));
+    let lines = passed.map(|h| (h.name.as_ref(), h.value.as_ref())).chain(added);
+    let bodiless = message.body.is_empty() && message.head.framing == Framing::Length(0);
+    let stated = message.head.headers.get("content-length").is_some();
     let framing = (!bodiless || stated).then(|| Framing::Length(message.body.len() as u64));
     let mut out = BytesMut::with_capacity(1024);
     write_request_head(
         &mut out,
-        &message.query.method,
-        &message.query.target,
+        &message.head.method,
+        &message.head.target,
         lines,
         framing,
     );
     out
 }
 
-/// Writes the request; stops early when the upstream answers before it has read all.
-async fn exchange(link: &mut Link, head: &[u8], body: &[u8], clean: &mut bool) -> Result<(), http::Error> {
+/// Writes the request; stops early if the upstream answers before it has read all of it.
+async fn write_request(
+    pooled: &mut PooledConnection,
+    head: &[u8],
+    body: &[u8],
+    reusable: &mut bool,
+) -> Result<(), http::Error> {
     use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
-    let (mut read, mut write, buffer) = link.connection.split();
+    let (mut read, mut write, buffer) = pooled.connection.split();
     let whole = [head, body].concat();
     let mut early = [0_u8; 1024];
     tokio::select! {
         biased;
         written = write.write_all(&whole) => {
-            // An upstream may have answered and closed before it read all.
-            *clean &= written.is_ok();
+            // The upstream may have answered and closed the connection before it read the whole request.
+            *reusable &= written.is_ok();
         }
         got = read.read(&mut early) => {
-            *clean = false;
+            *reusable = false;
             let got = got?;
             if got == 0 {
                 return Err(http::Error::Truncated);
@@ -216,53 +232,66 @@
 }
 
 /// Reads responses until the one to this request arrives, and applies the head of each.
-async fn own_answer(
+async fn read_response(
     core: &Core,
     instance: &Instance,
-    link: &mut Link,
+    pooled: &mut PooledConnection,
     request: &AdmittedRequest,
     sent: Moment,
-    clean: &mut bool,
-) -> Result<(ResponseHead, Head), http::Error> {
-    for _ in 0..MAX_FOREIGN {
-        let answer = link.connection.read_response(MAX_HEAD_BYTES).await?;
+    reusable: &mut bool,
+) -> Result<(ResponseHead, ParsedHead), http::Error> {
+    for _ in 0..MAX_SKIPPED_RESPONSES {
+        let answer = pooled.connection.read_response(MAX_HEAD_BYTES).await?;
         if answer.status < 200 {
             continue;
         }
-        let head = signal::read(&core.names, &answer);
-        if answer.headers.text(core.names.request) == Some(request.id.as_str()) {
+        let head = signal::parse(&core.header_names, &answer);
+        if answer.headers.text(core.header_names.request_id) == Some(request.id.as_str()) {
             unknown_signals::note(core, instance, &answer.headers);
             signal::apply(core, instance, request.model.as_deref(), &head, sent);
             return Ok((answer, head));
         }
-        // An extra answer to an earlier request on this connection.
+        // A late response to an earlier request on this connection.
         signal::apply_late(core, instance, &head);
-        *clean = false;
+        *reusable = false;
         if answer.framing == Framing::UntilClose {
-            return Err(http::Error::Malformed("an answer to another request"));
+            return Err(http::Error::Malformed(
+                "response to another request without a length",
+            ));
         }
-        link.connection
-            .read_body(BodyDecoder::new(answer.framing), MAX_FOREIGN_BYTES)
+        pooled
+            .connection
+            .read_body(BodyDecoder::new(answer.framing), MAX_SKIPPED_BODY_BYTES)
             .await?;
     }
-    Err(http::Error::Malformed("too many answers to other requests"))
+    Err(http::Error::Malformed("too many responses to other requests"))
 }
 
-async fn judge(core: &Shared, answer: ResponseHead, head: &Head, mut link: Link, clean: bool) -> Outcome {
+async fn classify(
+    core: &Shared,
+    answer: ResponseHead,
+    head: &ParsedHead,
+    mut pooled: PooledConnection,
+    reusable: bool,
+) -> AttemptOutcome {
     let mut body = BodyDecoder::new(answer.framing);
-    if !head.not_run {
-        return Outcome::Answered(Box::new(Reply {
+    if !head.not_executed {
+        return AttemptOutcome::Answered(Box::new(Reply {
             answer,
             body,
-            link,
-            clean,
-            closes_after: head.closes_after,
+            pooled,
+            reusable,
+            keep_alive_timeout: head.keep_alive_timeout,
         }));
     }
-    let complete = matches!(body.decode(&mut link.connection.buffer), Ok(Step::End))
-        || link.connection.read_body(body, MAX_FOREIGN_BYTES).await.is_ok();
-    if clean && complete && answer.keep_alive {
-        link::give(core, link, head.closes_after);
+    let complete = matches!(body.decode(&mut pooled.connection.buffer), Ok(Step::End))
+        || pooled
+            .connection
+            .read_body(body, MAX_SKIPPED_BODY_BYTES)
+            .await
+            .is_ok();
+    if reusable && complete && answer.keep_alive {
+        pool::put_back(core, pooled, head.keep_alive_timeout);
     }
-    Outcome::NotRun(answer.status)
+    AttemptOutcome::NotRun(answer.status)
 }
--- a/crates/jb-relay/src/follow/missing.rs
+++ b/crates/jb-relay/src/follow/missing.rs
@@ -34,8 +34,8 @@
 impl Partition {
     /// Notes that the box learns what the store held at `at`, before that counts as proven.
     pub(super) fn note(&mut self, core: &Core, at: Moment) {
-        let span = core.proven.get().map(|from| Span { from, until: at });
-        if let Some(span) = span.filter(|span| span.length() > core.harmless_silence()) {
+        let span = core.verified_at.get().map(|from| Span { from, until: at });
+        if let Some(span) = span.filter(|span| span.length() > core.tolerated_outage()) {
             self.0 = Some(span);
         }
     }
@@ -46,7 +46,7 @@
             let until = span.until + REWRITE_TIME;
             (core.now() < until && was_away(core, span)).then_some(until)
         });
-        let after_restore = core.recent_restore().map(|restore| restore.ends());
+        let after_restore = core.recent_restore().map(|restore| restore.settles_at());
         after_outage.max(after_restore)
     }
 }
@@ -56,11 +56,11 @@
         // No other box could know.
         return true;
     }
-    let Some(seen) = core.store_seen.get() else {
+    let Some(seen) = core.store_uptime.get() else {
         return false;
     };
     let spans = core.loads.borrow().store_spans(core.now());
-    outage::classify(partition, seen, &spans, core.harmless_silence()) == Availability::Unavailable
+    outage::classify(partition, seen, &spans, core.tolerated_outage()) == Availability::Unavailable
 }
 
 /// Takes an upstream whose entry is missing off, or keeps it as a last resort until `until`.
--- a/crates/jb-relay/src/leader/term.rs
+++ b/crates/jb-relay/src/leader/term.rs
@@ -87,7 +87,7 @@
             match self.term.get() {
                 Some(term) if stopping && self.loading.borrow().is_empty() => self.release(term).await,
                 Some(term) => self.hold(term).await,
-                None if stopping => self.core.stop.set_duty(false),
+                None if stopping => self.core.stop.set_leading(false),
                 None => self.try_elect().await,
             }
             if !stopping {
@@ -98,7 +98,7 @@
 
     async fn release(&self, term: Term) {
         self.core.metrics.store_calls.inc();
-        if let Err(why) = self.core.store.end(term.lease).await {
+        if let Err(why) = self.core.store.revoke_lease(term.lease).await {
             emit!(self.core.logger, info, event::LEADER_LOST, "why" => %why);
         }
         self.lose("the box stops");
@@ -126,7 +126,7 @@
 
     async fn renew(&self, term: Term, now: Moment) {
         self.core.metrics.store_calls.inc();
-        match self.core.store.renew(term.lease).await {
+        match self.core.store.renew_lease(term.lease).await {
             Ok(()) => self.term.set(Some(Term {
                 until: now + LEASE - MARGIN,
                 renewed: now,
@@ -199,7 +199,7 @@
 
     /// Revision of the record in the store if it names this box.
     fn own_record(&self, era: Era) -> Option<Revision> {
-        let items = self.core.own.borrow();
+        let items = self.core.box_items.borrow();
         let last = items.get(&record::key(era));
         let own = self.core.settings.id.as_bytes();
         let mine = last.filter(|item| item.value.as_deref().is_some_and(|v| record::holder(v) == own));
@@ -214,7 +214,7 @@
     fn lose(&self, why: &str) {
         self.term.set(None);
         self.counts.take();
-        self.core.stop.set_duty(false);
+        self.core.stop.set_leading(false);
         emit!(self.core.logger, warn, event::LEADER_LOST, "why" => why);
     }
 
--- a/crates/jb-relay/src/lib.rs
+++ b/crates/jb-relay/src/lib.rs
@@ -1,8 +1,8 @@
-//! The opaque request path of junctionbend.
+//! The relay of junctionbend: forwards requests without reading their bodies.
 //!
-//! A request passes through byte for byte; its facts (route, customer, prompt
-//! parts, deadline) travel beside it. This crate knows its platform only by
-//! [`port`] and [`names`]; the decisions are in `jb-policy`.
+//! A body passes through byte for byte; route, customer, prompt segments and deadline are taken from the
+//! head. This crate depends on the platform only through [`port`] and [`header_names`]; the decisions are
+//! in `jb-policy`.
 
 pub mod accept;
 pub mod admission;
@@ -16,13 +16,13 @@
 pub mod exchange;
 pub mod follow;
 pub mod front;
+pub mod header_names;
 pub mod http;
 pub mod leader;
-pub mod link;
 pub mod metrics;
 pub mod mirror;
-pub mod names;
 pub mod peers;
+pub mod pool;
 pub mod port;
 pub mod quarantine;
 pub mod ready;
--- a/crates/jb-relay/src/peers/quarantine_record.rs
+++ b/crates/jb-relay/src/peers/quarantine_record.rs
@@ -33,7 +33,7 @@
 /// Whether a request is quarantined and the store has no record of it.
 pub(super) fn is_due(core: &Core, content: Fingerprint) -> bool {
     let quarantined = core.quarantine.ledger().verdict(content, core.now()) == Verdict::Quarantined;
-    let own = core.own.borrow();
+    let own = core.box_items.borrow();
     let is_there = own.get(&key(content)).is_some_and(|item| item.value.is_some());
     quarantined && !is_there
 }
@@ -83,7 +83,7 @@
         return Ok(());
     };
     core.metrics.store_calls.inc_by(2);
-    let lease = core.store.lease(RETENTION).await?;
+    let lease = core.store.grant_lease(RETENTION).await?;
     let write = Write {
         key: key(content),
         value: Bytes::from(value),
--- a/crates/jb-relay/src/peers/reservation.rs
+++ b/crates/jb-relay/src/peers/reservation.rs
@@ -154,7 +154,7 @@
     let message = Message::Question(question);
     let answer = inquiries.ask(core, (&id, address), (place, name), &message, ANSWER);
     let Some(advice) = answer.await else {
-        core.metrics.unadvised.inc();
+        core.metrics.account_timeouts.inc();
         return None;
     };
     take_weights(core, engine, &advice);
@@ -243,7 +243,7 @@
 pub(super) fn is_known(core: &Core, from: SocketAddr) -> bool {
     let known = core.book.borrow().contains_address(from);
     if !known {
-        core.metrics.strange.inc();
+        core.metrics.rejected_datagrams.inc();
         emit!(core.logger, debug, event::PEER_REFUSED, "peer" => %from, "why" => "not a box that is known");
     }
     known
--- a/crates/jb-relay/src/peers/transfer.rs
+++ b/crates/jb-relay/src/peers/transfer.rs
@@ -22,7 +22,7 @@
 use crate::core::{Core, Shared};
 use crate::port::{Change, Revision};
 use crate::saturating_cast::saturating_cast;
-use crate::{accept, link};
+use crate::{accept, pool};
 
 /// Time for a connection to another box to come up.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -110,7 +110,7 @@
     after: Option<Revision>,
 ) -> Result<Transfer, Error> {
     let asked = core.now();
-    let connecting = timeout(CONNECT_TIMEOUT, link::connect(from));
+    let connecting = timeout(CONNECT_TIMEOUT, pool::connect(from));
     let late = || Error::Unreachable(std::io::ErrorKind::TimedOut.into());
     let stream = connecting.await.map_err(|_| late())?;
     let mut stream = stream.map_err(Error::Unreachable)?;
@@ -205,7 +205,7 @@
         sleep(LOOK).await;
     }
     if !core.book.borrow().contains_host(host) {
-        core.metrics.strange.inc();
+        core.metrics.rejected_datagrams.inc();
         return Err(std::io::ErrorKind::PermissionDenied.into());
     }
     // The semaphore is never closed.
@@ -228,24 +228,24 @@
 /// Returns whether the box knows what a query asks for. Who knows something already waits for what is recent.
 fn can_answer(core: &Core, query: &Query) -> bool {
     match query.after {
-        None => core.knows_store(),
-        Some(_) => core.age().is_some_and(is_fresh),
+        None => core.has_store_state(),
+        Some(_) => core.state_age().is_some_and(is_fresh),
     }
 }
 
 /// Returns the changes after a revision, or everything where the log doesn't reach back so far.
 fn find(core: &Core, after: Option<Revision>) -> std::io::Result<Option<(Header, Bytes)>> {
-    let revision = core.log.borrow().revision();
+    let revision = core.change_log.borrow().revision();
     if after.is_some_and(|after| after > revision) {
         return Ok(None);
     }
-    let log = core.log.borrow();
+    let log = core.change_log.borrow();
     let Some((after, changes)) = after.and_then(|after| Some((after, log.since(after)?))) else {
         drop(log);
         return whole(core).map(Some);
     };
     let header = Header {
-        age_ms: core.age().map(millis),
+        age_ms: core.state_age().map(millis),
         revision,
         whole: after.era < revision.era,
     };
@@ -259,8 +259,8 @@
         Some(known) => known,
         None => {
             let new = Whole {
-                revision: core.log.borrow().revision(),
-                proven: core.proven.get(),
+                revision: core.change_log.borrow().revision(),
+                proven: core.verified_at.get(),
                 encoded: now,
                 changes: encode(core.mirror.borrow().items())?,
             };
--- /dev/null
+++ b/crates/jb-relay/src/pool.rs
@@ -0,0 +1,232 @@
+//! Connection pool of each upstream. A connection carries one request at a time.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use jb_policy::Moment;
+use tokio::net::{TcpSocket, TcpStream};
+use tokio::time::timeout;
+
+use crate::core::Shared;
+use crate::http::Connection;
+use crate::upstream::Instance;
+
+/// Connect timeout: several round trips inside a region.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Idle time after which a connection is not reused, unless the upstream states a shorter one.
+pub const MAX_IDLE_TIME: Duration = Duration::from_secs(8);
+/// The same for requests that may be executed only once: on a connection that the upstream has just closed, it
+/// would be unknown whether the request was executed.
+const MAX_IDLE_TIME_ONCE: Duration = Duration::from_secs(3);
+/// Part of the idle timeout stated by an upstream for which a connection is reused.
+const IDLE_SHARE: f64 = 0.7;
+/// Upper bound on idle connections to one upstream.
+const MAX_IDLE_CONNECTIONS: usize = 24;
+
+/// A connection without a request.
+#[derive(Debug)]
+pub struct IdleConnection {
+    connection: Connection,
+    /// When its last request ended.
+    pub idle_since: Moment,
+    max_idle: Duration,
+}
+
+/// A connection that carries a request.
+pub struct PooledConnection {
+    /// HTTP connection.
+    pub connection: Connection,
+    /// Upstream that it leads to.
+    pub upstream: Instance,
+    /// Whether it has carried a request before.
+    pub used: bool,
+}
+
+/// Why a connection couldn't be opened.
+#[derive(Debug, thiserror::Error)]
+pub enum Error {
+    /// The upstream is no longer registered.
+    #[error("the upstream is no longer registered")]
+    Gone,
+    /// The connection failed, for example because it was refused.
+    #[error("connection failed: {0}")]
+    Refused(std::io::Error),
+    /// The connection was not established in this time.
+    #[error("connection timed out after {0:?}")]
+    TimedOut(Duration),
+}
+
+/// Returns an idle connection, or opens a new one. `once` restricts the reuse for requests that may be executed
+/// only once.
+///
+/// # Errors
+/// If no connection can be opened; nothing has been sent in that case.
+pub async fn checkout(core: &Shared, upstream: &Instance, once: bool) -> Result<PooledConnection, Error> {
+    if let Some(connection) = take_idle(core, upstream, once) {
+        return Ok(PooledConnection {
+            connection,
+            upstream: upstream.clone(),
+            used: true,
+        });
+    }
+    open(core, upstream, CONNECT_TIMEOUT).await
+}
+
+/// Opens a connection within a timeout.
+async fn open(core: &Shared, upstream: &Instance, time: Duration) -> Result<PooledConnection, Error> {
+    let address = core
+        .upstreams
+        .borrow()
+        .instance(upstream)
+        .map(|u| u.entry.address)
+        .ok_or(Error::Gone)?;
+    let stream = match timeout(time, connect(address)).await {
+        Ok(stream) => stream.map_err(Error::Refused)?,
+        Err(_) => return Err(Error::TimedOut(time)),
+    };
+    core.metrics.connections_opened.inc();
+    Ok(PooledConnection {
+        connection: Connection::new(stream),
+        upstream: upstream.clone(),
+        used: false,
+    })
+}
+
+/// Time without an acknowledgement after which the operating system closes a connection.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2500);
+
+/// Connects with the socket options of all connections that a box opens, to upstreams and to the store.
+///
+/// Data of an abandoned call must not arrive later. After an orderly close the operating system still delivers
+/// written data, after a network partition even seconds later, so that an upstream would execute a request, or
+/// the store a write, that nobody waits for. Closing therefore resets the connection, which drops unsent data. A
+/// connection whose last response was read completely loses nothing by a reset.
+///
+/// # Errors
+/// What the operating system reports.
+pub async fn connect(address: SocketAddr) -> std::io::Result<TcpStream> {
+    let socket = if address.is_ipv4() {
+        TcpSocket::new_v4()?
+    } else {
+        TcpSocket::new_v6()?
+    };
+    socket.set_nodelay(true)?;
+    let options = socket2::SockRef::from(&socket);
+    options.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
+    options.set_linger(Some(Duration::ZERO))?;
+    socket.connect(address).await
+}
+
+/// Connect timeout of a probe that only shows whether an upstream has crashed; a retried request waits for it. A
+/// round trip inside a region takes 2 to 10 ms.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
+/// Upper bound on other upstreams that are probed to check the path to a data hall.
+const MAX_WITNESSES: usize = 2;
+
+/// Returns whether an upstream has crashed while it executed a request. A lost connection alone doesn't show it:
+/// a running upstream accepts a new connection, which is kept for the next request. As a partition of the data hall
+/// may also refuse connections, another upstream there has to accept one. A draining upstream is expected to end,
+/// which is no crash.
+pub async fn has_crashed(core: &Shared, upstream: &Instance) -> bool {
+    if let Some(known) = core.upstreams.borrow().instance(upstream) {
+        if known.entry.draining {
+            return false;
+        }
+        if core.now() < known.ended_until {
+            return true;
+        }
+    }
+    let refuses = match probe(core, upstream).await {
+        Err(Error::Refused(why)) => why.kind() == std::io::ErrorKind::ConnectionRefused,
+        _ => false,
+    };
+    if !refuses || !is_hall_connectable(core, upstream).await {
+        return false;
+    }
+    if let Some(known) = core.upstreams.borrow_mut().instance_mut(upstream) {
+        known.note_end(core.now());
+    }
+    true
+}
+
+/// Checks that an upstream accepts a connection, and keeps the connection for the next request.
+async fn probe(core: &Shared, upstream: &Instance) -> Result<(), Error> {
+    let pooled = open(core, upstream, PROBE_TIMEOUT).await?;
+    put_back(core, pooled, None);
+    Ok(())
+}
+
+/// Returns whether another upstream in the same data hall accepts a connection; true if there is no other one.
+async fn is_hall_connectable(core: &Shared, upstream: &Instance) -> bool {
+    let witnesses = core
+        .upstreams
+        .borrow()
+        .neighbours(upstream, MAX_WITNESSES, core.now());
+    for witness in &witnesses {
+        if probe(core, witness).await.is_ok() {
+            return true;
+        }
+    }
+    witnesses.is_empty()
+}
+
+fn take_idle(core: &Shared, upstream: &Instance, once: bool) -> Option<Connection> {
+    let now = core.now();
+    let mut upstreams = core.upstreams.borrow_mut();
+    let pool = &mut upstreams.instance_mut(upstream)?.idle;
+    while let Some(mut idle) = pool.pop() {
+        let max_idle = if once {
+            idle.max_idle.min(MAX_IDLE_TIME_ONCE)
+        } else {
+            idle.max_idle
+        };
+        if now.saturating_sub(idle.idle_since) > max_idle {
+            if once && now.saturating_sub(idle.idle_since) <= idle.max_idle {
+                // The connection is still usable for a retryable request.
+                pool.push(idle);
+                return None;
+            }
+            continue;
+        }
+        if idle.connection.is_reusable() {
+            return Some(idle.connection);
+        }
+    }
+    None
+}
+
+/// Keeps a connection for the next request. `max_idle` is the idle timeout that the upstream states.
+pub fn put_back(core: &Shared, pooled: PooledConnection, max_idle: Option<Duration>) {
+    let PooledConnection {
+        connection, upstream, ..
+    } = pooled;
+    if !connection.buffer.is_empty() {
+        // Data after a complete response belongs to no request.
+        return;
+    }
+    let mut upstreams = core.upstreams.borrow_mut();
+    let Some(known) = upstreams.instance_mut(&upstream) else {
+        return;
+    };
+    if known.idle.len() >= MAX_IDLE_CONNECTIONS {
+        return;
+    }
+    let max_idle = max_idle.map_or(MAX_IDLE_TIME, |named| {
+        named.mul_f64(IDLE_SHARE).min(MAX_IDLE_TIME)
+    });
+    known.idle.push(IdleConnection {
+        connection,
+        idle_since: core.now(),
+        max_idle,
+    });
+}
+
+/// Closes connections that have been idle for too long.
+pub fn close_expired(core: &Shared) {
+    let now = core.now();
+    for upstream in core.upstreams.borrow_mut().values_mut() {
+        upstream
+            .idle
+            .retain(|idle| now.saturating_sub(idle.idle_since) <= idle.max_idle);
+    }
+}
--- a/crates/jb-relay/src/quarantine.rs
+++ b/crates/jb-relay/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! What this box knows of poison requests, and the evidence that it has to publish.
+//! Evidence on requests that crash engines ("poison requests"), and the updates to publish to other boxes.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -12,63 +12,63 @@
 use crate::core::{Core, Shared};
 use crate::upstream::Instance;
 
-/// Evidence to publish on one request.
+/// New evidence on one request, to be published to other boxes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct News {
-    /// The request.
+pub struct EvidenceUpdate {
+    /// Content hash of the request.
     pub content: Fingerprint,
-    /// A trial that this box has begun or ended, if there is one.
+    /// Trial that this box has started or ended, if any.
     pub trial: Option<Trial>,
 }
 
-/// A trial of a suspect at an engine.
+/// An isolated trial of a suspect request at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Trial {
     /// Short name of the engine.
     pub engine: EngineId,
-    /// Whether it is over.
+    /// Whether the trial has ended.
     pub over: bool,
 }
 
-/// Poison requests and suspects.
+/// Known poison requests and suspects.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     ledger: RefCell<Ledger>,
-    news: RefCell<Vec<News>>,
+    updates: RefCell<Vec<EvidenceUpdate>>,
     wake: Notify,
 }
 
 impl Quarantine {
-    /// Whether nothing is known of any request.
+    /// Returns whether there is no evidence on any request.
     pub fn is_empty(&self) -> bool {
         self.ledger.borrow().is_empty()
     }
 
-    /// What is known.
+    /// Returns the evidence on all requests.
     pub fn ledger(&self) -> std::cell::Ref<'_, Ledger> {
         self.ledger.borrow()
     }
 
-    /// Waits for evidence to publish.
-    pub async fn news(&self) -> Vec<News> {
+    /// Waits for updates to publish, and takes them.
+    pub async fn next_updates(&self) -> Vec<EvidenceUpdate> {
         self.wake.notified().await;
-        std::mem::take(&mut *self.news.borrow_mut())
+        std::mem::take(&mut *self.updates.borrow_mut())
     }
 
-    /// Forgets what is old.
-    pub fn forget(&self, now: Moment) {
+    /// Removes expired evidence.
+    pub fn expire(&self, now: Moment) {
         self.ledger.borrow_mut().forget(now);
     }
 
-    fn enqueue(&self, news: News) {
-        let mut queued = self.news.borrow_mut();
+    fn enqueue(&self, news: EvidenceUpdate) {
+        let mut queued = self.updates.borrow_mut();
         if !queued.contains(&news) {
             queued.push(news);
         }
         self.wake.notify_one();
     }
 
-    /// Applies a trial of another box.
+    /// Applies the start or end of another box's trial.
     pub fn apply_trial(&self, content: Fingerprint, trial: Trial, now: Moment) {
         let mut ledger = self.ledger.borrow_mut();
         if trial.over {
@@ -79,20 +79,24 @@
     }
 }
 
-/// Name under which boxes speak of a life.
-pub fn engine(instance: &Instance) -> EngineId {
+/// Returns the short name of an engine instance in messages between boxes.
+pub fn engine_name(instance: &Instance) -> EngineId {
     rendezvous::short_hash(instance.name())
 }
 
-/// Notes that an engine has ended while it ran a request; `apart`: as the only suspect there.
-pub fn note_end(core: &Core, content: Fingerprint, instance: &Instance, isolated: bool) {
-    note(core, content, Evidence::from_crash(engine(instance), isolated));
+/// Records that an engine crashed while it executed a request; `isolated` if the request was in an isolated trial.
+pub fn note_crash(core: &Core, content: Fingerprint, instance: &Instance, isolated: bool) {
+    note(
+        core,
+        content,
+        Evidence::from_crash(engine_name(instance), isolated),
+    );
 }
 
-/// Notes that an engine has run a request to a good end, where that is evidence.
-pub fn note_run(core: &Core, content: Fingerprint, instance: &Instance) {
+/// Records that an engine executed a request without a crash, if there is evidence against the request.
+pub fn note_success(core: &Core, content: Fingerprint, instance: &Instance) {
     if core.quarantine.ledger().contains(content) {
-        note(core, content, Evidence::from_completion(engine(instance)));
+        note(core, content, Evidence::from_completion(engine_name(instance)));
     }
 }
 
@@ -102,13 +106,13 @@
         evidence,
         at: core.now(),
     };
-    if apply(core, &row) {
-        core.quarantine.enqueue(News { content, trial: None });
+    if apply_evidence(core, &row) {
+        core.quarantine.enqueue(EvidenceUpdate { content, trial: None });
     }
 }
 
-/// Applies evidence of this box or of another one; returns whether it is new.
-pub fn apply(core: &Core, row: &Row) -> bool {
+/// Applies evidence from this box or another one; returns whether it is new.
+pub fn apply_evidence(core: &Core, row: &Row) -> bool {
     let change = core.quarantine.ledger.borrow_mut().merge(row, core.now());
     if let Some(change) = change {
         log(core, row.fingerprint, change);
@@ -131,38 +135,38 @@
             emit!(core.logger, warn, event::REQUEST_SUSPECTED, "content" => %content, "ended" => ended);
         }
         Verdict::Quarantined => {
-            core.metrics.poisonous.inc();
+            core.metrics.requests_quarantined.inc();
             emit!(core.logger, warn, event::REQUEST_POISONOUS, "content" => %content, "ended" => ended,
                 "isolated" => evidence.isolated().count());
         }
     }
 }
 
-/// A try of a suspect, which is over when dropped.
-pub struct Tried {
+/// A running trial of a suspect request; dropping it ends the trial.
+pub struct TrialGuard {
     core: Shared,
     content: Fingerprint,
     engine: EngineId,
 }
 
-/// Begins a try of a suspect at an engine.
-pub fn begin(core: &Shared, content: Fingerprint, instance: &Instance) -> Tried {
-    let engine = engine(instance);
+/// Starts a trial of a suspect request at an engine.
+pub fn begin_trial(core: &Shared, content: Fingerprint, instance: &Instance) -> TrialGuard {
+    let engine = engine_name(instance);
     let now = core.now();
     core.quarantine
         .ledger
         .borrow_mut()
         .begin_trial(content, engine, now);
     let trial = Some(Trial { engine, over: false });
-    core.quarantine.enqueue(News { content, trial });
-    Tried {
+    core.quarantine.enqueue(EvidenceUpdate { content, trial });
+    TrialGuard {
         core: Rc::clone(core),
         content,
         engine,
     }
 }
 
-impl Drop for Tried {
+impl Drop for TrialGuard {
     fn drop(&mut self) {
         let (content, engine) = (self.content, self.engine);
         self.core
@@ -171,6 +175,6 @@
             .borrow_mut()
             .end_trial(content, engine);
         let trial = Some(Trial { engine, over: true });
-        self.core.quarantine.enqueue(News { content, trial });
+        self.core.quarantine.enqueue(EvidenceUpdate { content, trial });
     }
 }
--- a/crates/jb-relay/src/signal.rs
+++ b/crates/jb-relay/src/signal.rs
@@ -1,8 +1,8 @@
 //! Signals in the response heads of upstreams, parsed in one place and applied in one place.
 //!
-//! Every sender checks the state of the instance before it writes: first sends, retries, resumed streams,
-//! queued requests, once-only requests and suspects (`exchange`), and orders (`leader`). Prompt segments
-//! that another engine transfers from an instance are no requests to it.
+//! Every sender checks the state of the instance before it writes: first attempts, retries, resumed streams,
+//! queued requests, non-idempotent requests and isolated trials (`exchange`), and orders (`leader`). Transfers of
+//! cached segments from an instance to another engine don't count as requests to it.
 
 use std::time::Duration;
 
@@ -12,51 +12,51 @@
 use jb_protocol::{emit, event};
 
 use crate::core::Core;
+use crate::header_names::HeaderNames;
 use crate::http::ResponseHead;
-use crate::names::Names;
 use crate::peers;
 use crate::upstream::Instance;
 
-/// Shortest pause after a rejected request.
+/// Minimum backoff after a rejected request.
 const REJECTION_PAUSE: Duration = Duration::from_millis(150);
-/// Status of a response by another instance, or with other weights, than the request is for.
+/// Status of a response from another instance, or from the right one with other weights than requested.
 const MISDIRECTED: u16 = 421;
 
-/// Head of a response, as far as it concerns the upstream.
+/// Information about the upstream in the head of a response.
 #[derive(Clone, Debug)]
-pub struct Head {
-    /// Signals that hold beyond this response.
+pub struct ParsedHead {
+    /// Signals that apply to later requests too.
     pub signals: Signals,
-    /// Whether the upstream hasn't run the request.
-    pub not_run: bool,
-    /// Instance that answers, where the head names one.
-    answering: Option<String>,
-    /// Version of the weights behind the response.
-    weights: Option<u64>,
-    /// Idle time after which the upstream closes the connection.
-    pub closes_after: Option<Duration>,
+    /// Whether the upstream rejected the request without executing it.
+    pub not_executed: bool,
+    /// Instance that sent the response; only set if the request was misdirected.
+    answering_instance: Option<String>,
+    /// Weights version with which the response was generated.
+    answer_weights: Option<u64>,
+    /// Idle time after which the upstream closes the connection, if it states one.
+    pub keep_alive_timeout: Option<Duration>,
 }
 
 /// Parses the head of a response.
-pub fn read(names: &Names, answer: &ResponseHead) -> Head {
+pub fn parse(names: &HeaderNames, answer: &ResponseHead) -> ParsedHead {
     let headers = &answer.headers;
-    Head {
+    ParsedHead {
         signals: Signals {
             draining: signal::is_draining(headers.all(names.draining)),
             retry_after: signal::retry_after(answer.status, headers.all(names.retry_after)),
             limit: Announcement::parse(headers.all(names.rate_limit)),
         },
-        not_run: headers.get(names.not_run).is_some() || answer.status == MISDIRECTED,
-        answering: headers
-            .text(names.answering)
+        not_executed: headers.get(names.not_run).is_some() || answer.status == MISDIRECTED,
+        answering_instance: headers
+            .text(names.answering_instance)
             .filter(|_| answer.status == MISDIRECTED)
             .map(str::to_owned),
-        weights: headers.number(names.made_by),
-        closes_after: closes_after(answer),
+        answer_weights: headers.number(names.answer_weights),
+        keep_alive_timeout: keep_alive_timeout(answer),
     }
 }
 
-fn closes_after(answer: &ResponseHead) -> Option<Duration> {
+fn keep_alive_timeout(answer: &ResponseHead) -> Option<Duration> {
     let value = answer.headers.text("keep-alive")?;
     let named = value
         .split(',')
@@ -64,16 +64,18 @@
     named.trim().parse().ok().map(Duration::from_secs)
 }
 
-impl Head {
-    /// Whether another instance answers at the address; the same one may only have other weights.
+impl ParsedHead {
+    /// Returns whether another instance has the address; a misdirected request may also be due to other weights.
     fn is_of_other(&self, instance: &Instance) -> bool {
-        self.answering.as_ref().is_some_and(|other| *other != instance.id)
+        self.answering_instance
+            .as_ref()
+            .is_some_and(|other| *other != instance.id)
     }
 }
 
-/// Applies the head of a response to a request that was written at `sent`, before anything else is sent
-/// to the instance and before the caller gets the response.
-pub fn apply(core: &Core, instance: &Instance, model: Option<&str>, head: &Head, sent: Moment) {
+/// Applies the head of the response to a request that was written at `sent`. Has to run before anything else
+/// is sent to the instance and before the caller gets the response.
+pub fn apply(core: &Core, instance: &Instance, model: Option<&str>, head: &ParsedHead, sent: Moment) {
     if head.is_of_other(instance) {
         note_replaced(core, instance);
         return;
@@ -81,24 +83,25 @@
     apply_signals(core, instance, head.signals, Some(sent));
     let now = core.now();
     if let Some(upstream) = core.upstreams.borrow_mut().instance_mut(instance) {
-        if head.not_run {
+        if head.not_executed {
             upstream.backoff.pause(REJECTION_PAUSE, now);
         }
-        if let Some((model, version)) = model.zip(head.weights) {
+        if let Some((model, version)) = model.zip(head.answer_weights) {
             upstream.observe_weights(model, version);
         }
     }
 }
 
-/// Applies the head of a late response to an earlier request: its weights and free places are outdated.
-pub fn apply_late(core: &Core, instance: &Instance, head: &Head) {
+/// Applies the head of a late response to an earlier request. Its weights version and remaining rate limit are
+/// outdated and are ignored.
+pub fn apply_late(core: &Core, instance: &Instance, head: &ParsedHead) {
     if !head.is_of_other(instance) {
         apply_signals(core, instance, head.signals, None);
     }
 }
 
-/// Applies the signals of any response; `sent` is when its request was written, where it answers a
-/// request of a caller and that is known.
+/// Applies the signals of a response. `sent` is when the request was written; `None` if that is unknown, or if it
+/// wasn't a caller's request.
 pub fn apply_signals(core: &Core, instance: &Instance, signals: Signals, sent: Option<Moment>) {
     let now = core.now();
     let mut upstreams = core.upstreams.borrow_mut();
@@ -118,13 +121,13 @@
         peers::announce_rate_limit(core, upstream);
     }
     if let Some(until) = upstream.backoff.observe(signals, upstream.running, now) {
-        core.metrics.backoffs.inc();
+        core.metrics.upstream_backoffs.inc();
         emit!(core.logger, info, event::UPSTREAM_BACKOFF, "upstream" => %instance,
             "ms" => until.saturating_sub(now).as_millis() as u64);
     }
 }
 
-/// Notes that another instance has the address.
+/// Marks an instance as replaced: another one has its address.
 fn note_replaced(core: &Core, instance: &Instance) {
     if let Some(upstream) = core.upstreams.borrow_mut().instance_mut(instance)
         && !upstream.refused
--- a/crates/jb-relay/src/upstream/state.rs
+++ b/crates/jb-relay/src/upstream/state.rs
@@ -11,7 +11,7 @@
 use jb_policy::reservation::Reservations;
 
 use super::{Criteria, Instance};
-use crate::link::Idle;
+use crate::pool::IdleConnection;
 use crate::port::Entry;
 
 /// Time for which an upstream that refuses connections after one was lost gets nothing: as long as the first
@@ -61,7 +61,7 @@
     /// Its account, where this box keeps it.
     pub account: Reservations,
     /// Idle connections, the last used at the end.
-    pub idle: Vec<Idle>,
+    pub idle: Vec<IdleConnection>,
 }
 
 /// Load of an upstream.
@@ -191,7 +191,7 @@
             cached_tokens: self.cache.cached_tokens(demand.prompt),
             peer_cached_tokens: 0,
             has_stale_weights: behind,
-            slowdown: if self.entry.cold.is_zero() { 1.0 } else { COLD },
+            slowdown: if self.entry.warm_up.is_zero() { 1.0 } else { COLD },
         }
     }
 }
