--- a/crates/jb-relay/src/peers/message/datagram.rs
+++ b/crates/jb-relay/src/peers/message/datagram.rs
@@ -3,12 +3,13 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    Acquire, Advice, Ask, AskMore, AskReleases, Charge, Count, Draining, Forward, Grant, Limits, News,
-    Permit, Question, Releases, Replaced, Returned, Sent, Status, Suspects,
+    Acquire, Charge, ChargeReply, Draining, Forward, Limits, LongPrompts, Permit, Pull, PullMore, PullReply,
+    QueryReleases, ReachableCount, Releases, Replaced, ReservationUpdate, Reserve, ReserveReply, Status,
+    Suspects,
 };
 
 /// Longest datagram, in bytes: one packet.
-pub(in crate::peers) const LONGEST: usize = 1400;
+pub(in crate::peers) const MAX_DATAGRAM_BYTES: usize = 1400;
 
 /// One datagram. New kinds come last: boxes of the version before refuse them and read the others.
 #[derive(Debug, Serialize, Deserialize)]
@@ -16,31 +17,31 @@
     /// Loads, prompts and weights.
     Status(Status),
     /// A box asks for what has changed in the store.
-    Ask(Ask),
+    Pull(Pull),
     /// What has changed.
-    News(News),
+    PullReply(PullReply),
     /// Long prompts that a box has just sent.
-    Sent(Sent),
+    LongPrompts(LongPrompts),
     /// Incarnations of upstreams whose addresses others have now.
     Replaced(Replaced),
     /// A box that has just started asks when weights were named.
-    AskReleases(AskReleases),
+    QueryReleases(QueryReleases),
     /// When they were.
     Releases(Releases),
     /// A box asks the account of an engine for a place.
-    Question(Question),
-    /// Answer of the account.
-    Advice(Advice),
+    Reserve(Reserve),
+    /// PullBody of the account.
+    ReserveReply(ReserveReply),
     /// The first token of a prompt has come, or its place is given back.
-    Returned(Returned),
-    /// Count of the boxes that a relay node reaches.
-    Heard(Count),
+    ReservationUpdate(ReservationUpdate),
+    /// ReachableCount of the boxes that a relay node reaches.
+    ReachableCount(ReachableCount),
     /// A request asks the account of its customer.
     Charge(Charge),
-    /// Answer of the account.
-    Grant(Grant),
+    /// PullBody of the account.
+    ChargeReply(ChargeReply),
     /// A box asks for more of what has changed in the store.
-    AskMore(AskMore),
+    PullMore(PullMore),
     /// Evidence on poison requests.
     Suspects(Suspects),
     /// Instances that have signalled that they drain.
--- a/crates/jb-relay/src/peers/message/mod.rs
+++ b/crates/jb-relay/src/peers/message/mod.rs
@@ -2,22 +2,22 @@
 
 mod datagram;
 mod forward;
-mod limit;
-mod news;
-mod place;
+mod pull;
+mod quota;
 mod rate_limit;
 mod releases;
+mod reservation;
 mod status;
 mod suspicion;
 
-pub(super) use datagram::{LONGEST, Message};
+pub(super) use datagram::{MAX_DATAGRAM_BYTES, Message};
 pub(super) use forward::{Forward, Recipients};
-pub(super) use limit::{Charge, Count, Grant};
-pub(super) use news::{Answer, Ask, AskMore, News, Piece, StoreChange};
-pub use place::Admission;
-pub(super) use place::{Advice, Question, Returned};
+pub(super) use pull::{Chunk, Pull, PullBody, PullMore, PullReply, StoreChange};
+pub(super) use quota::{Charge, ChargeReply, ReachableCount};
 pub(super) use rate_limit::{Acquire, Limits, Observation, Permit};
-pub(super) use releases::{AskReleases, Release, Releases};
-pub(super) use status::{CacheUse, Draining, Replaced, Sent, Status, StoreSpan};
+pub(super) use releases::{QueryReleases, Release, Releases};
+pub use reservation::Admission;
+pub(super) use reservation::{ReservationUpdate, Reserve, ReserveReply};
+pub(super) use status::{CacheUse, Draining, LongPrompts, Replaced, Status, StoreSpan};
 pub use status::{LoadedWeights, UpstreamLoad};
 pub(super) use suspicion::{Suspect, Suspects};
--- a/crates/jb-relay/src/peers/message/news.rs
+++ b/crates/jb-relay/src/peers/message/pull.rs
@@ -7,7 +7,7 @@
 
 /// A question for news of the store.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub(in crate::peers) struct Ask {
+pub(in crate::peers) struct Pull {
     /// Number that the answer repeats.
     pub nonce: u64,
     /// Revision that the asker has.
@@ -18,27 +18,27 @@
 
 /// A question for the rest of news that did not fit into one datagram.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub(in crate::peers) struct AskMore {
+pub(in crate::peers) struct PullMore {
     /// The question for all of them.
-    pub ask: Ask,
+    pub ask: Pull,
     /// Changes that the asker has of them already.
     pub skip: u32,
 }
 
-/// News of the store from another box.
+/// PullReply of the store from another box.
 #[derive(Debug, Serialize, Deserialize)]
-pub(in crate::peers) struct News {
+pub(in crate::peers) struct PullReply {
     /// Number of the question.
     pub nonce: u64,
     /// Age of what the other box knows, in milliseconds.
     pub age_ms: u64,
-    /// Answer.
-    pub answer: Answer,
+    /// PullBody.
+    pub answer: PullBody,
 }
 
-/// Answer to a question for news.
+/// PullBody to a question for news.
 #[derive(Debug, Serialize, Deserialize)]
-pub(in crate::peers) enum Answer {
+pub(in crate::peers) enum PullBody {
     /// The changes since then, the older first; `whole` when there are no more.
     Changes {
         /// Changes.
@@ -49,23 +49,23 @@
         whole: bool,
     },
     /// The asker must read the store itself.
-    ReadYourself,
-    /// A piece of the next change, whose value is too long for one datagram.
-    Piece(Piece),
+    ReadStore,
+    /// A chunk of the next change, whose value is too long for one datagram.
+    Chunk(Chunk),
     /// The asker must have them transferred over a connection.
-    TooLong,
+    UseTransfer,
 }
 
-/// Piece of a change's value.
+/// Chunk of a change's value.
 #[derive(Debug, Serialize, Deserialize)]
-pub(in crate::peers) struct Piece {
+pub(in crate::peers) struct Chunk {
     /// The change without its value.
     pub change: StoreChange,
     /// Bytes of the whole value.
     pub total: u32,
-    /// Bytes before this piece.
+    /// Bytes before this chunk.
     pub from: u32,
-    /// The piece.
+    /// The chunk.
     pub bytes: Vec<u8>,
 }
 
--- a/crates/jb-relay/src/peers/message/limit.rs
+++ b/crates/jb-relay/src/peers/message/quota.rs
@@ -5,7 +5,7 @@
 
 /// Boxes that the relay node of a data hall reaches, itself included.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(in crate::peers) struct Count {
+pub(in crate::peers) struct ReachableCount {
     /// Relay node.
     pub from: id::Box,
     /// Boxes of its data hall.
@@ -33,9 +33,9 @@
     pub left: Option<i64>,
 }
 
-/// Answer of a customer's account.
+/// PullBody of a customer's account.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub(in crate::peers) struct Grant {
+pub(in crate::peers) struct ChargeReply {
     /// Number of the charge.
     pub nonce: u64,
     /// Short name of the customer.
--- a/crates/jb-relay/src/peers/message/rate_limit.rs
+++ b/crates/jb-relay/src/peers/message/rate_limit.rs
@@ -31,7 +31,7 @@
     pub is_fallback: bool,
 }
 
-/// Answer to [`Acquire`].
+/// PullBody to [`Acquire`].
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct Permit {
     /// Number of the query.
--- a/crates/jb-relay/src/peers/message/releases.rs
+++ b/crates/jb-relay/src/peers/message/releases.rs
@@ -4,7 +4,7 @@
 
 /// Asks when weights were released.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub(in crate::peers) struct AskReleases {
+pub(in crate::peers) struct QueryReleases {
     /// Moment of the query, by the asker's clock in milliseconds; the answer repeats it.
     pub asked_ms: u64,
 }
--- a/crates/jb-relay/src/peers/message/place.rs
+++ b/crates/jb-relay/src/peers/message/reservation.rs
@@ -18,7 +18,7 @@
 
 /// A question to the account of an engine.
 #[derive(Debug, Serialize, Deserialize)]
-pub(in crate::peers) struct Question {
+pub(in crate::peers) struct Reserve {
     /// Id of the place.
     pub place: Place,
     /// Lower half of the hash of the engine's id.
@@ -33,9 +33,9 @@
     pub left_ms: u32,
 }
 
-/// Answer of an engine's account.
+/// PullBody of an engine's account.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub(in crate::peers) struct Advice {
+pub(in crate::peers) struct ReserveReply {
     /// Id of the place.
     pub place: Place,
     /// Lower half of the hash of the engine's id.
@@ -60,7 +60,7 @@
 
 /// What became of a place.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub(in crate::peers) struct Returned {
+pub(in crate::peers) struct ReservationUpdate {
     /// Id of the place.
     pub place: Place,
     /// Lower half of the hash of the engine's id.
--- a/crates/jb-relay/src/peers/message/status.rs
+++ b/crates/jb-relay/src/peers/message/status.rs
@@ -75,7 +75,7 @@
 
 /// Long prompts that a box has sent since its last status.
 #[derive(Debug, Serialize, Deserialize)]
-pub(in crate::peers) struct Sent {
+pub(in crate::peers) struct LongPrompts {
     /// Box.
     pub from: id::Box,
     /// Upstream of each prompt with the tokens that it has to read.
--- a/crates/jb-relay/src/peers/mod.rs
+++ b/crates/jb-relay/src/peers/mod.rs
@@ -5,12 +5,12 @@
 mod broadcast;
 mod change_log;
 mod directory;
-mod inquiry;
 mod message;
 mod outbox;
 mod owner;
 mod pull;
 mod quarantine_record;
+mod query;
 mod quota;
 mod rate_limit;
 mod reachability;
--- a/crates/jb-relay/src/peers/outbox.rs
+++ b/crates/jb-relay/src/peers/outbox.rs
@@ -11,7 +11,7 @@
 use tokio::time::timeout;
 
 use super::broadcast::broadcast;
-use super::message::{Draining, Message, Replaced, Sent};
+use super::message::{Draining, LongPrompts, Message, Replaced};
 use super::status::add_prompt;
 use super::{rate_limit, reservation};
 use crate::core::Core;
@@ -72,12 +72,12 @@
             continue;
         }
         let from = core.settings.id.clone();
-        broadcast(core, socket, &Message::Sent(Sent { from, prompts })).await;
+        broadcast(core, socket, &Message::LongPrompts(LongPrompts { from, prompts })).await;
     }
 }
 
 /// Receives long prompts that another box has sent; they count until its next status.
-pub(super) fn take_sent(core: &Core, sent: &Sent) {
+pub(super) fn take_sent(core: &Core, sent: &LongPrompts) {
     for &(upstream, tokens) in &sent.prompts {
         add_prompt(core, &sent.from, upstream, u64::from(tokens));
     }
--- a/crates/jb-relay/src/peers/owner.rs
+++ b/crates/jb-relay/src/peers/owner.rs
@@ -46,14 +46,14 @@
 
 /// Asks the owner `first` of the state under `key`, then the one of the own data hall; returns the answer
 /// with the box that gave it, or nothing when neither answers in time.
-pub(super) async fn ask<A>(
+pub(super) async fn query<A>(
     core: &Core,
     key: u64,
     first: Option<Owner>,
-    mut query: impl AsyncFnMut(&Owner, Scope) -> Option<A>,
+    mut send: impl AsyncFnMut(&Owner, Scope) -> Option<A>,
 ) -> Option<(id::Box, A)> {
     let first = first?;
-    if let Some(answer) = query(&first, Scope::Fleet).await {
+    if let Some(answer) = send(&first, Scope::Fleet).await {
         return Some((first.0, answer));
     }
     let hall = &core.settings.hall;
@@ -61,6 +61,6 @@
         .book
         .borrow()
         .fallback_owner(key, hall, &first.0, core.now())?;
-    let answer = query(&fallback, Scope::Hall).await?;
+    let answer = send(&fallback, Scope::Hall).await?;
     Some((fallback.0, answer))
 }
--- a/crates/jb-relay/src/peers/pull.rs
+++ b/crates/jb-relay/src/peers/pull.rs
@@ -1,4 +1,4 @@
-//! News of the store from the relay node of the data hall, so that not every box asks the store.
+//! PullReply of the store from the relay node of the data hall, so that not every box asks the store.
 //!
 //! An answer proves what was in force when the relay node's own call was sent. The
 //! asker counts from the moment it asked, so a late datagram makes the
@@ -15,7 +15,7 @@
 use tokio::time::timeout;
 
 use super::change_log::{ChangeLog, NUMBERS, size};
-use super::message::{Answer, Ask, AskMore, LONGEST, Message, News, Piece, StoreChange};
+use super::message::{Chunk, MAX_DATAGRAM_BYTES, Message, Pull, PullBody, PullMore, PullReply, StoreChange};
 use super::socket::send;
 use super::transfer;
 use crate::core::Core;
@@ -30,18 +30,18 @@
 /// Bytes of a message without its changes, at the most.
 const FRAME: usize = 64;
 /// Longest changes that are sent in datagrams, in bytes.
-const MAX_DATAGRAM_BYTES: usize = 16 * 1024;
+const MAX_PULL_BYTES: usize = 16 * 1024;
 
 /// What fits into one datagram of the changes that a box asks for, but for the first `skip` ones,
 /// which it has.
-fn changes_since(log: &ChangeLog, ask: &Ask, skip: u32) -> Answer {
+fn changes_since(log: &ChangeLog, ask: &Pull, skip: u32) -> PullBody {
     let Some(since) = log.since(ask.after) else {
-        return Answer::TooLong;
+        return PullBody::UseTransfer;
     };
-    if skip == 0 && ask.from == 0 && log.encoded_size_since(ask.after) > MAX_DATAGRAM_BYTES {
-        return Answer::TooLong;
+    if skip == 0 && ask.from == 0 && log.encoded_size_since(ask.after) > MAX_PULL_BYTES {
+        return PullBody::UseTransfer;
     }
-    let mut room = LONGEST - FRAME;
+    let mut room = MAX_DATAGRAM_BYTES - FRAME;
     let mut changes = Vec::new();
     let mut revision = ask.after;
     for change in since.skip(skip as usize) {
@@ -49,7 +49,7 @@
             return if changes.is_empty() {
                 piece(change, ask)
             } else {
-                Answer::Changes {
+                PullBody::Changes {
                     changes,
                     revision,
                     whole: false,
@@ -60,7 +60,7 @@
         revision = change.revision;
         changes.push(StoreChange::from(change));
     }
-    Answer::Changes {
+    PullBody::Changes {
         changes,
         revision: revision.max(log.revision()),
         whole: true,
@@ -68,16 +68,16 @@
 }
 
 /// The next piece of a change that is too long for one datagram.
-fn piece(change: &Change, ask: &Ask) -> Answer {
+fn piece(change: &Change, ask: &Pull) -> PullBody {
     let from = ask.from as usize;
     let value = change.value.as_deref().unwrap_or_default();
     let without = change.key.len() + NUMBERS;
     let rest = value.get(from..).unwrap_or_default();
-    let room = (LONGEST - FRAME).saturating_sub(without);
+    let room = (MAX_DATAGRAM_BYTES - FRAME).saturating_sub(without);
     if rest.is_empty() || room == 0 {
-        return Answer::TooLong;
+        return PullBody::UseTransfer;
     }
-    Answer::Piece(Piece {
+    PullBody::Chunk(Chunk {
         change: StoreChange::without_value(change),
         total: saturating_cast(value.len()),
         from: saturating_cast(from),
@@ -89,12 +89,12 @@
 #[derive(Debug, Default)]
 pub struct PendingPull {
     nonce: Cell<u64>,
-    waiting: RefCell<Option<(u64, oneshot::Sender<News>)>>,
+    waiting: RefCell<Option<(u64, oneshot::Sender<PullReply>)>>,
 }
 
 impl PendingPull {
     /// Hands an answer to the question that it belongs to.
-    pub(super) fn deliver(&self, news: News) {
+    pub(super) fn deliver(&self, news: PullReply) {
         let mut waiting = self.waiting.borrow_mut();
         if waiting.as_ref().is_some_and(|(nonce, _)| *nonce == news.nonce) {
             // The asker may have given up in this moment.
@@ -182,7 +182,7 @@
     let mut era = None;
     loop {
         let asked = core.now();
-        let ask = Ask {
+        let ask = Pull {
             nonce: 0,
             after,
             from: saturating_cast(value.len()),
@@ -197,9 +197,9 @@
             return Err(Error::OutOfTurn);
         }
         match news.answer {
-            Answer::ReadYourself => return Err(Error::Outdated),
-            Answer::TooLong => return transferred(core, address, after).await,
-            Answer::Changes {
+            PullBody::ReadStore => return Err(Error::Outdated),
+            PullBody::UseTransfer => return transferred(core, address, after).await,
+            PullBody::Changes {
                 changes,
                 revision,
                 whole,
@@ -214,7 +214,7 @@
                     });
                 }
             }
-            Answer::Piece(piece) => {
+            PullBody::Chunk(piece) => {
                 // A late answer to a question before.
                 if piece.from != ask.from || piece.bytes.is_empty() {
                     return Err(Error::OutOfTurn);
@@ -244,11 +244,11 @@
 }
 
 /// Era of the store that an answer is about.
-fn era_of(answer: &Answer) -> Option<Era> {
+fn era_of(answer: &PullBody) -> Option<Era> {
     match answer {
-        Answer::Changes { revision, .. } => Some(revision.era),
-        Answer::Piece(piece) => Some(piece.change.revision.era),
-        Answer::ReadYourself | Answer::TooLong => None,
+        PullBody::Changes { revision, .. } => Some(revision.era),
+        PullBody::Chunk(piece) => Some(piece.change.revision.era),
+        PullBody::ReadStore | PullBody::UseTransfer => None,
     }
 }
 
@@ -276,15 +276,21 @@
 }
 
 /// One question and its answer, if it comes in time.
-async fn question(core: &Core, socket: &UdpSocket, to: SocketAddr, ask: Ask, skip: u32) -> Option<News> {
+async fn question(
+    core: &Core,
+    socket: &UdpSocket,
+    to: SocketAddr,
+    ask: Pull,
+    skip: u32,
+) -> Option<PullReply> {
     let (sender, receiver) = oneshot::channel();
     let nonce = core.relayed.nonce.get() + 1;
     core.relayed.nonce.set(nonce);
     *core.relayed.waiting.borrow_mut() = Some((nonce, sender));
-    let ask = Ask { nonce, ..ask };
+    let ask = Pull { nonce, ..ask };
     let message = match skip {
-        0 => Message::Ask(ask),
-        skip => Message::AskMore(AskMore { ask, skip }),
+        0 => Message::Pull(ask),
+        skip => Message::PullMore(PullMore { ask, skip }),
     };
     send(core, socket, to, &message).await;
     timeout(ANSWER, receiver).await.ok()?.ok()
@@ -296,10 +302,10 @@
 }
 
 /// Answers another box that has the first `skip` changes already.
-pub(super) async fn answer(core: &Core, socket: &UdpSocket, from: SocketAddr, ask: Ask, skip: u32) {
+pub(super) async fn answer(core: &Core, socket: &UdpSocket, from: SocketAddr, ask: Pull, skip: u32) {
     // Without knowledge, or with old knowledge, the asker is better off with the store.
     let age = core.age().filter(|age| is_fresh(*age));
-    let answer = age.map_or(Answer::ReadYourself, |_| {
+    let answer = age.map_or(PullBody::ReadStore, |_| {
         changes_since(&core.log.borrow(), &ask, skip)
     });
     let age_ms = age.map_or(0, |age| u64::try_from(age.as_millis() + 1).unwrap_or(u64::MAX));
@@ -307,7 +313,7 @@
         core,
         socket,
         from,
-        &Message::News(News {
+        &Message::PullReply(PullReply {
             nonce: ask.nonce,
             age_ms,
             answer,
--- a/crates/jb-relay/src/peers/inquiry.rs
+++ b/crates/jb-relay/src/peers/query.rs
@@ -18,13 +18,13 @@
 
 /// Questions under way, by what their answers repeat.
 #[derive(Debug)]
-pub(super) struct Inquiries<K, A> {
+pub(super) struct Queries<K, A> {
     socket: OnceCell<Rc<UdpSocket>>,
     waiting: RefCell<HashMap<K, oneshot::Sender<A>>>,
     next_nonce: Cell<u64>,
 }
 
-impl<K, A> Default for Inquiries<K, A> {
+impl<K, A> Default for Queries<K, A> {
     fn default() -> Self {
         Self {
             socket: OnceCell::new(),
@@ -34,7 +34,7 @@
     }
 }
 
-impl<K: Copy + Eq + Hash, A> Inquiries<K, A> {
+impl<K: Copy + Eq + Hash, A> Queries<K, A> {
     /// Takes the socket to ask over.
     pub fn set_socket(&self, socket: Rc<UdpSocket>) {
         // A box is started once.
@@ -42,7 +42,7 @@
     }
 
     /// Returns a number that no question of this box had before.
-    pub fn draw_nonce(&self) -> u64 {
+    pub fn next_nonce(&self) -> u64 {
         self.next_nonce.set(self.next_nonce.get() + 1);
         self.next_nonce.get()
     }
@@ -56,7 +56,7 @@
 
     /// Asks a box, which has `time` to answer besides the way; `None` when it gives no answer in time, which counts
     /// against it.
-    pub async fn ask(
+    pub async fn query(
         &self,
         core: &Core,
         (id, address): (&id::Box, SocketAddr),
--- a/crates/jb-relay/src/peers/quota.rs
+++ b/crates/jb-relay/src/peers/quota.rs
@@ -13,9 +13,9 @@
 use jb_protocol::{emit, event, id};
 use tokio::net::UdpSocket;
 
-use super::inquiry::Inquiries;
-use super::message::{Charge, Grant, Message};
+use super::message::{Charge, ChargeReply, Message};
 use super::owner::{self, Owner, Scope};
+use super::query::Queries;
 use super::socket::try_send;
 use crate::admission::AdmittedRequest;
 use crate::configuration::{Quota, short_name};
@@ -45,7 +45,7 @@
 /// The limits as one box sees them.
 #[derive(Debug, Default)]
 pub struct Quotas {
-    inquiries: Inquiries<u64, Grant>,
+    queries: Queries<u64, ChargeReply>,
     /// Accounts that this box keeps, by the customer's short name.
     accounts: RefCell<HashMap<u32, Account>>,
     /// What this box knows of accounts.
@@ -55,10 +55,10 @@
 impl Quotas {
     /// Takes the socket to ask over.
     pub fn set_socket(&self, socket: Rc<UdpSocket>) {
-        self.inquiries.set_socket(socket);
+        self.queries.set_socket(socket);
     }
 
-    fn apply_grant(&self, grant: &Grant, now: Moment) {
+    fn apply_grant(&self, grant: &ChargeReply, now: Moment) {
         let mut known = self.known.borrow_mut();
         let left = Left {
             at: now,
@@ -109,7 +109,7 @@
     };
     let customer = short_name(name);
     let mut charge = Charge {
-        nonce: core.quotas.inquiries.draw_nonce(),
+        nonce: core.quotas.queries.next_nonce(),
         customer,
         tokens,
         urgent: request.route.priority <= request.configuration.top_priority,
@@ -137,10 +137,10 @@
 }
 
 /// The grant of the account, with the box that keeps it.
-async fn judge(core: &Core, charge: &mut Charge) -> (id::Box, Grant) {
+async fn judge(core: &Core, charge: &mut Charge) -> (id::Box, ChargeReply) {
     let key = u64::from(charge.customer);
     let first = core.book.borrow().fleet_owner(key, core.now());
-    let granted = owner::ask(core, key, first, async |owner, scope| {
+    let granted = owner::query(core, key, first, async |owner, scope| {
         if scope == Scope::Hall {
             charge.again = true;
             // What was reported to a box that gave no answer may be counted twice, not given back twice.
@@ -163,13 +163,13 @@
 }
 
 /// Asks a box that keeps an account, which may be this one.
-async fn ask(core: &Core, (id, address): &Owner, charge: &Charge) -> Option<Grant> {
+async fn ask(core: &Core, (id, address): &Owner, charge: &Charge) -> Option<ChargeReply> {
     if *id == core.settings.id {
         return Some(answer(core, charge, Scope::of_query(charge.again)));
     }
     let message = Message::Charge(*charge);
-    let inquiries = &core.quotas.inquiries;
-    let answer = inquiries.ask(core, (id, *address), charge.nonce, &message, ANSWER);
+    let queries = &core.quotas.queries;
+    let answer = queries.query(core, (id, *address), charge.nonce, &message, ANSWER);
     let grant = answer.await;
     if grant.is_none() {
         core.metrics.limit_unanswered.inc();
@@ -184,18 +184,18 @@
             core,
             socket,
             from,
-            &Message::Grant(answer(core, charge, Scope::of_query(charge.again))),
+            &Message::ChargeReply(answer(core, charge, Scope::of_query(charge.again))),
         );
     }
 }
 
 /// Takes the answer to a charge of this box.
-pub(super) fn deliver(core: &Core, grant: Grant) {
-    core.quotas.inquiries.deliver(grant.nonce, grant);
+pub(super) fn deliver(core: &Core, grant: ChargeReply) {
+    core.quotas.queries.deliver(grant.nonce, grant);
 }
 
 /// Judges a charge by the account that this box keeps.
-fn answer(core: &Core, charge: &Charge, scope: Scope) -> Grant {
+fn answer(core: &Core, charge: &Charge, scope: Scope) -> ChargeReply {
     let now = core.now();
     let quota = core
         .configuration()
@@ -221,8 +221,8 @@
     grant(charge, taken, account.level())
 }
 
-fn grant(charge: &Charge, taken: Result<(), Duration>, left: f64) -> Grant {
-    Grant {
+fn grant(charge: &Charge, taken: Result<(), Duration>, left: f64) -> ChargeReply {
+    ChargeReply {
         nonce: charge.nonce,
         customer: charge.customer,
         after_ms: taken.err().map(|after| saturating_cast(after.as_millis())),
--- a/crates/jb-relay/src/peers/rate_limit.rs
+++ b/crates/jb-relay/src/peers/rate_limit.rs
@@ -9,16 +9,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use jb_policy::Moment;
 use jb_policy::quota::Account as Bucket;
-use jb_policy::rate_limit;
-use jb_policy::rendezvous;
+use jb_policy::{Moment, rate_limit, rendezvous};
 use jb_protocol::{emit, event};
 use tokio::net::UdpSocket;
 
-use super::inquiry::Inquiries;
 use super::message::{Acquire, Limits, Message, Observation, Permit as Answer};
 use super::owner::{self, Owner, Scope};
+use super::query::Queries;
 use super::socket::try_send;
 use crate::core::Core;
 use crate::saturating_cast::saturating_cast;
@@ -45,7 +43,7 @@
 /// State of a box that enforces limits.
 #[derive(Debug, Default)]
 pub struct RateLimits {
-    inquiries: Inquiries<u64, Answer>,
+    queries: Queries<u64, Answer>,
     /// Buckets that this box owns, by the instance's short name.
     buckets: RefCell<HashMap<u32, Bucket>>,
 }
@@ -53,7 +51,7 @@
 impl RateLimits {
     /// Sets the socket for queries.
     pub fn set_socket(&self, socket: Rc<UdpSocket>) {
-        self.inquiries.set_socket(socket);
+        self.queries.set_socket(socket);
     }
 }
 
@@ -66,12 +64,12 @@
         return Ok(Permit::Unlimited);
     };
     let mut query = Acquire {
-        nonce: core.rate_limits.inquiries.draw_nonce(),
+        nonce: core.rate_limits.queries.next_nonce(),
         instance: rendezvous::short_hash(name),
         observation: to_message(observation, core.now()),
         is_fallback: false,
     };
-    let answer = owner::ask(core, name, owner, async |owner, scope| {
+    let answer = owner::query(core, name, owner, async |owner, scope| {
         query.is_fallback = scope == Scope::Hall;
         ask(core, owner, &query).await
     });
@@ -107,9 +105,9 @@
         return Some(decide(core, query, Scope::of_query(query.is_fallback)));
     }
     let message = Message::Acquire(*query);
-    let inquiries = &core.rate_limits.inquiries;
-    let answer = inquiries
-        .ask(core, (id, *address), query.nonce, &message, ANSWER_TIMEOUT)
+    let queries = &core.rate_limits.queries;
+    let answer = queries
+        .query(core, (id, *address), query.nonce, &message, ANSWER_TIMEOUT)
         .await;
     if answer.is_none() {
         core.metrics.rate_limit_unanswered.inc();
@@ -202,7 +200,7 @@
 
 /// Delivers an answer to the query of this box that it belongs to.
 pub(super) fn deliver(core: &Core, answer: Answer) {
-    core.rate_limits.inquiries.deliver(answer.nonce, answer);
+    core.rate_limits.queries.deliver(answer.nonce, answer);
 }
 
 /// Messages that announce the present limits of instances.
--- a/crates/jb-relay/src/peers/reachability.rs
+++ b/crates/jb-relay/src/peers/reachability.rs
@@ -11,7 +11,7 @@
 use jb_protocol::id;
 use tokio::net::UdpSocket;
 
-use super::message::{Count, Message};
+use super::message::{Message, ReachableCount};
 use super::reservation;
 use super::socket::send;
 use crate::core::Core;
@@ -91,7 +91,7 @@
     let hall = saturating_cast(members.len() + 1);
     let fleet = core.reachability.borrow().sum(hall, now);
     core.reachability.borrow_mut().record(fleet, now);
-    let count = Message::Heard(Count {
+    let count = Message::ReachableCount(ReachableCount {
         from: core.settings.id.clone(),
         hall: fleet.hall,
         all: fleet.all,
@@ -106,7 +106,7 @@
 }
 
 /// Receives the count of a relay node.
-pub(super) fn receive(core: &Core, from: SocketAddr, count: &Count) {
+pub(super) fn receive(core: &Core, from: SocketAddr, count: &ReachableCount) {
     if !reservation::is_known(core, from) {
         return;
     }
--- a/crates/jb-relay/src/peers/releases.rs
+++ b/crates/jb-relay/src/peers/releases.rs
@@ -11,7 +11,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
-use super::message::{AskReleases, Message, Release, Releases};
+use super::message::{Message, QueryReleases, Release, Releases};
 use super::socket::send;
 use crate::core::{Core, Shared};
 
@@ -47,7 +47,7 @@
                 &core,
                 &socket,
                 address,
-                &Message::AskReleases(AskReleases { asked_ms }),
+                &Message::QueryReleases(QueryReleases { asked_ms }),
             )
             .await;
         }
@@ -74,7 +74,7 @@
 }
 
 /// Answers another box.
-pub(super) async fn answer(core: &Core, socket: &UdpSocket, from: SocketAddr, asked: AskReleases) {
+pub(super) async fn answer(core: &Core, socket: &UdpSocket, from: SocketAddr, asked: QueryReleases) {
     let now = core.now();
     let mut releases = Vec::new();
     for (model, history) in core.weights.borrow().iter() {
--- a/crates/jb-relay/src/peers/reservation.rs
+++ b/crates/jb-relay/src/peers/reservation.rs
@@ -17,8 +17,8 @@
 use jb_protocol::{emit, event};
 use tokio::net::UdpSocket;
 
-use super::inquiry::Inquiries;
-use super::message::{Admission, Advice, Message, Question, Returned};
+use super::message::{Admission, Message, ReservationUpdate, Reserve, ReserveReply};
+use super::query::Queries;
 use super::socket::try_send;
 use crate::core::{Core, Shared};
 use crate::saturating_cast::saturating_cast;
@@ -41,18 +41,18 @@
 /// What a box asks for itself.
 #[derive(Debug, Default)]
 pub struct Reservations {
-    inquiries: Inquiries<(Place, u32), Advice>,
+    queries: Queries<(Place, u32), ReserveReply>,
 }
 
 impl Reservations {
     /// Takes the socket to ask over.
     pub fn set_socket(&self, socket: Rc<UdpSocket>) {
-        self.inquiries.set_socket(socket);
+        self.queries.set_socket(socket);
     }
 
     /// Id for a new place.
     fn draw_id(&self, own: &str) -> Place {
-        rendezvous::weight(self.inquiries.draw_nonce(), rendezvous::name_hash(own))
+        rendezvous::weight(self.queries.next_nonce(), rendezvous::name_hash(own))
     }
 }
 
@@ -135,7 +135,7 @@
     room: Admission,
 ) -> Option<EngineState> {
     let (name, owner) = owner(core, engine)?;
-    let question = Question {
+    let question = Reserve {
         place,
         engine: name,
         shared: prompt
@@ -150,9 +150,9 @@
     let Some((id, address)) = owner else {
         return Some(view(answer(core, &question)?));
     };
-    let inquiries = &core.accounts.inquiries;
-    let message = Message::Question(question);
-    let answer = inquiries.ask(core, (&id, address), (place, name), &message, ANSWER);
+    let queries = &core.accounts.queries;
+    let message = Message::Reserve(question);
+    let answer = queries.query(core, (&id, address), (place, name), &message, ANSWER);
     let Some(advice) = answer.await else {
         core.metrics.unadvised.inc();
         return None;
@@ -162,7 +162,7 @@
 }
 
 /// Applies newer weights of an engine.
-fn take_weights(core: &Core, engine: &Instance, advice: &Advice) {
+fn take_weights(core: &Core, engine: &Instance, advice: &ReserveReply) {
     let mut upstreams = core.upstreams.borrow_mut();
     let Some(upstream) = upstreams.instance_mut(engine) else {
         return;
@@ -173,7 +173,7 @@
     }
 }
 
-fn view(advice: Advice) -> EngineState {
+fn view(advice: ReserveReply) -> EngineState {
     EngineState {
         is_open: advice.open,
         is_reserved: advice.taken,
@@ -205,16 +205,17 @@
     let Some((name, owner)) = owner(core, engine) else {
         return;
     };
-    let returned = Returned {
+    let returned = ReservationUpdate {
         place,
         engine: name,
         ending,
     };
     match owner {
-        Some((_, address)) => core
-            .accounts
-            .inquiries
-            .send(core, address, &Message::Returned(returned)),
+        Some((_, address)) => {
+            core.accounts
+                .queries
+                .send(core, address, &Message::ReservationUpdate(returned))
+        }
         // What this box saw itself it has judged.
         None => {
             take_back(core, &returned);
@@ -223,17 +224,17 @@
 }
 
 /// Takes a question of another box.
-pub(super) fn receive_question(core: &Core, socket: &UdpSocket, from: SocketAddr, question: &Question) {
+pub(super) fn receive_question(core: &Core, socket: &UdpSocket, from: SocketAddr, question: &Reserve) {
     if !is_known(core, from) {
         return;
     }
     if let Some(advice) = answer(core, question) {
-        try_send(core, socket, from, &Message::Advice(advice));
+        try_send(core, socket, from, &Message::ReserveReply(advice));
     }
 }
 
 /// Receives the end of a place from another box.
-pub(super) fn receive_returned(core: &Core, from: SocketAddr, returned: &Returned) {
+pub(super) fn receive_returned(core: &Core, from: SocketAddr, returned: &ReservationUpdate) {
     if is_known(core, from) && take_back(core, returned) {
         judge(core, returned);
     }
@@ -250,12 +251,12 @@
 }
 
 /// Takes the answer to a question of this box.
-pub(super) fn deliver(core: &Core, advice: Advice) {
+pub(super) fn deliver(core: &Core, advice: ReserveReply) {
     let key = (advice.place, advice.engine);
-    core.accounts.inquiries.deliver(key, advice);
+    core.accounts.queries.deliver(key, advice);
 }
 
-fn answer(core: &Core, question: &Question) -> Option<Advice> {
+fn answer(core: &Core, question: &Reserve) -> Option<ReserveReply> {
     let now = core.now();
     let memory = |service: &str| {
         let configuration = core.configuration()?;
@@ -298,7 +299,7 @@
         upstream.health.note_sent();
         upstream.cache.insert(shared.into_iter(), u64::from(question.own));
     }
-    Some(Advice {
+    Some(ReserveReply {
         place: question.place,
         engine: question.engine,
         open,
@@ -330,7 +331,7 @@
 }
 
 /// Releases a place, or notes its first token; returns whether its request has ended.
-fn take_back(core: &Core, returned: &Returned) -> bool {
+fn take_back(core: &Core, returned: &ReservationUpdate) -> bool {
     let mut upstreams = core.upstreams.borrow_mut();
     let Some(upstream) = upstreams.by_short_name_mut(returned.engine) else {
         return false;
@@ -343,7 +344,7 @@
 }
 
 /// Judges an engine by how a request of another box has ended there.
-fn judge(core: &Core, returned: &Returned) {
+fn judge(core: &Core, returned: &ReservationUpdate) {
     let mut upstreams = core.upstreams.borrow_mut();
     let Some(upstream) = upstreams.by_short_name_mut(returned.engine) else {
         return;
--- a/crates/jb-relay/src/peers/socket.rs
+++ b/crates/jb-relay/src/peers/socket.rs
@@ -8,7 +8,7 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::time::sleep;
 
-use super::message::{LONGEST, Message};
+use super::message::{MAX_DATAGRAM_BYTES, Message};
 use super::{
     broadcast, outbox, pull, quota, rate_limit, reachability, releases, reservation, status, suspicion,
 };
@@ -50,7 +50,7 @@
 /// Encodes a message; `None` where it is larger than a packet.
 pub(super) fn encode(core: &Core, message: &Message) -> Option<Vec<u8>> {
     let bytes = postcard::to_allocvec(message).ok()?;
-    if bytes.len() > LONGEST {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
         emit!(core.logger, debug, event::PEER_REFUSED, "why" => "larger than a packet");
         return None;
     }
@@ -83,7 +83,7 @@
 
 /// Hears the other boxes for ever.
 pub async fn receive(core: Shared, socket: Rc<UdpSocket>) {
-    let mut buffer = [0_u8; LONGEST];
+    let mut buffer = [0_u8; MAX_DATAGRAM_BYTES];
     loop {
         let (length, from) = match socket.recv_from(&mut buffer).await {
             Ok(received) => received,
@@ -116,18 +116,18 @@
 async fn apply(core: &Shared, socket: &UdpSocket, from: SocketAddr, message: Message) {
     match message {
         Message::Status(status) => status::receive(core, socket, from, status).await,
-        Message::Ask(ask) => pull::answer(core, socket, from, ask, 0).await,
-        Message::AskMore(more) => pull::answer(core, socket, from, more.ask, more.skip).await,
-        Message::News(news) => core.relayed.deliver(news),
-        Message::Sent(sent) => outbox::take_sent(core, &sent),
+        Message::Pull(ask) => pull::answer(core, socket, from, ask, 0).await,
+        Message::PullMore(more) => pull::answer(core, socket, from, more.ask, more.skip).await,
+        Message::PullReply(news) => core.relayed.deliver(news),
+        Message::LongPrompts(sent) => outbox::take_sent(core, &sent),
         Message::Replaced(replaced) => outbox::receive_replaced(core, &replaced),
-        Message::Question(question) => reservation::receive_question(core, socket, from, &question),
-        Message::Advice(advice) => reservation::deliver(core, advice),
-        Message::Returned(returned) => reservation::receive_returned(core, from, &returned),
-        Message::Heard(count) => reachability::receive(core, from, &count),
+        Message::Reserve(question) => reservation::receive_question(core, socket, from, &question),
+        Message::ReserveReply(advice) => reservation::deliver(core, advice),
+        Message::ReservationUpdate(returned) => reservation::receive_returned(core, from, &returned),
+        Message::ReachableCount(count) => reachability::receive(core, from, &count),
         Message::Charge(charge) => quota::receive_charge(core, socket, from, &charge),
-        Message::Grant(grant) => quota::deliver(core, grant),
-        Message::AskReleases(asked) => releases::answer(core, socket, from, asked).await,
+        Message::ChargeReply(grant) => quota::deliver(core, grant),
+        Message::QueryReleases(asked) => releases::answer(core, socket, from, asked).await,
         Message::Releases(answer) => releases::receive(core, answer),
         Message::Suspects(suspects) => suspicion::receive(core, from, &suspects),
         Message::Draining(draining) => outbox::receive_draining(core, from, &draining),
