--- a/crates/jb-relay/src/peers/message/datagram.rs
+++ b/crates/jb-relay/src/peers/message/datagram.rs
@@ -1,4 +1,4 @@
-//! One datagram.
+//! The datagram that boxes exchange.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,50 +8,50 @@
     Suspects,
 };
 
-/// Longest datagram, in bytes: one packet.
+/// Longest datagram, in bytes: it fits into one packet.
 pub(in crate::peers) const MAX_DATAGRAM_BYTES: usize = 1400;
 
-/// One datagram. New kinds come last: boxes of the version before refuse them and read the others.
+/// A datagram. New kinds are appended: boxes of the previous version reject them and still read the others.
 #[derive(Debug, Serialize, Deserialize)]
 pub(in crate::peers) enum Message {
-    /// Loads, prompts and weights.
+    /// Loads, cache uses and loaded weights of a box.
     Status(Status),
-    /// A box asks for what has changed in the store.
+    /// Requests the changes of the store after a revision.
     Pull(Pull),
-    /// What has changed.
+    /// Answers [`Pull`] and [`PullMore`].
     PullReply(PullReply),
-    /// Long prompts that a box has just sent.
+    /// Announces long prompts that a box has just sent.
     LongPrompts(LongPrompts),
-    /// Incarnations of upstreams whose addresses others have now.
+    /// Announces incarnations of upstreams whose addresses are now used by others.
     Replaced(Replaced),
-    /// A box that has just started asks when weights were named.
+    /// Asks, on behalf of a box that has just started, when weights were released.
     QueryReleases(QueryReleases),
-    /// When they were.
+    /// Answers [`QueryReleases`].
     Releases(Releases),
-    /// A box asks the account of an engine for a place.
+    /// Asks the owner of an engine for a reservation.
     Reserve(Reserve),
-    /// PullBody of the account.
+    /// Answers [`Reserve`].
     ReserveReply(ReserveReply),
-    /// The first token of a prompt has come, or its place is given back.
+    /// Reports the first token of a prompt, or ends its reservation.
     ReservationUpdate(ReservationUpdate),
-    /// ReachableCount of the boxes that a relay node reaches.
+    /// Number of boxes that a relay node reaches.
     ReachableCount(ReachableCount),
-    /// A request asks the account of its customer.
+    /// Charges a request to the quota of its customer.
     Charge(Charge),
-    /// PullBody of the account.
+    /// Answers [`Charge`].
     ChargeReply(ChargeReply),
-    /// A box asks for more of what has changed in the store.
+    /// Requests the changes that did not fit into the previous [`PullReply`].
     PullMore(PullMore),
     /// Evidence on poison requests.
     Suspects(Suspects),
-    /// Instances that have signalled that they drain.
+    /// Announces instances that have signalled that they are draining.
     Draining(Draining),
-    /// Rate limits of instances have begun or ended.
+    /// Announces rate limits of instances that have begun or ended.
     Limits(Limits),
-    /// A box asks the owner of a rate limit for a permit.
+    /// Asks the owner of a rate limit for a permit.
     Acquire(Acquire),
-    /// The owner's answer.
+    /// Answers [`Acquire`].
     Permit(Permit),
-    /// A message that is to be handed on.
+    /// A message that the receiver forwards to other boxes.
     Forward(Forward),
 }
--- a/crates/jb-relay/src/peers/message/forward.rs
+++ b/crates/jb-relay/src/peers/message/forward.rs
@@ -1,23 +1,23 @@
-//! Messages that are handed on.
+//! Messages that the receiver forwards to other boxes.
 
 use serde::{Deserialize, Serialize};
 
-/// A message that the receiver applies, and hands on to others.
+/// A message that the receiver applies and forwards.
 #[derive(Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct Forward {
-    /// For whom it is.
+    /// Boxes to forward it to.
     pub to: Recipients,
-    /// The message in its encoding.
+    /// The encoded message.
     pub message: Vec<u8>,
 }
 
-/// For whom a message is, besides its receiver.
+/// Boxes that are to receive a message, besides its receiver.
 #[derive(Debug, Serialize, Deserialize)]
 pub(in crate::peers) enum Recipients {
     /// All boxes.
     Fleet,
     /// All boxes of the receiver's data hall.
     Hall,
-    /// Some boxes, by the lower halves of the hashes of their ids.
+    /// The boxes with these short names: the lower halves of the hashes of their ids.
     Boxes(Vec<u32>),
 }
--- a/crates/jb-relay/src/peers/message/pull.rs
+++ b/crates/jb-relay/src/peers/message/pull.rs
@@ -1,75 +1,75 @@
-//! Questions for news of the store, and their answers.
+//! Requests for changes of the store, and their replies.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
 use crate::port::{Change, Revision};
 
-/// A question for news of the store.
+/// Requests the changes of the store after a revision.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct Pull {
-    /// Number that the answer repeats.
+    /// Number that the reply repeats.
     pub nonce: u64,
-    /// Revision that the asker has.
+    /// Revision that the requester has.
     pub after: Revision,
-    /// Bytes that it has of the next value, where that comes in pieces.
-    pub from: u32,
+    /// Bytes that it already has of the next value, if that is sent in chunks.
+    pub offset: u32,
 }
 
-/// A question for the rest of news that did not fit into one datagram.
+/// Requests the changes that did not fit into the previous datagram.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct PullMore {
-    /// The question for all of them.
-    pub ask: Pull,
-    /// Changes that the asker has of them already.
+    /// The request for all of them.
+    pub pull: Pull,
+    /// Number of them that the requester already has.
     pub skip: u32,
 }
 
-/// PullReply of the store from another box.
+/// Answers [`Pull`] and [`PullMore`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct PullReply {
-    /// Number of the question.
+    /// Number of the request.
     pub nonce: u64,
-    /// Age of what the other box knows, in milliseconds.
+    /// Age of the sender's knowledge of the store, in milliseconds.
     pub age_ms: u64,
-    /// PullBody.
-    pub answer: PullBody,
+    /// The changes, or why they are not sent.
+    pub body: PullBody,
 }
 
-/// PullBody to a question for news.
+/// Content of a [`PullReply`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(in crate::peers) enum PullBody {
-    /// The changes since then, the older first; `whole` when there are no more.
+    /// The changes after the requested revision, the oldest first.
     Changes {
-        /// Changes.
+        /// Changes that fit into the datagram.
         changes: Vec<StoreChange>,
-        /// Revision after them.
+        /// Revision that the store has after them.
         revision: Revision,
-        /// Whether these are all.
-        whole: bool,
+        /// Whether no more changes follow.
+        is_complete: bool,
     },
-    /// The asker must read the store itself.
+    /// The sender's knowledge is too old; the requester must read the store itself.
     ReadStore,
-    /// A chunk of the next change, whose value is too long for one datagram.
+    /// Part of the next change, whose value is too long for one datagram.
     Chunk(Chunk),
-    /// The asker must have them transferred over a connection.
+    /// The changes are too long, or not in the log; the requester must fetch them over a connection.
     UseTransfer,
 }
 
-/// Chunk of a change's value.
+/// Part of a change's value.
 #[derive(Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct Chunk {
     /// The change without its value.
     pub change: StoreChange,
-    /// Bytes of the whole value.
+    /// Length of the whole value, in bytes.
     pub total: u32,
-    /// Bytes before this chunk.
-    pub from: u32,
-    /// The chunk.
+    /// Position of this chunk in the value, in bytes.
+    pub offset: u32,
+    /// Content of the chunk.
     pub bytes: Vec<u8>,
 }
 
-/// A change of one item.
+/// A change of one item of the store.
 #[derive(Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct StoreChange {
     key: String,
@@ -88,7 +88,7 @@
 }
 
 impl StoreChange {
-    /// A change whose value is sent separately.
+    /// Returns a change whose value is sent in chunks.
     pub fn without_value(change: &Change) -> Self {
         Self {
             value: None,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The change with the value that was sent separately.
+    /// Adds the value that was received in chunks.
     pub fn with_value(self, value: Vec<u8>) -> Change {
         Change::from(Self {
             value: Some(value),
--- a/crates/jb-relay/src/peers/message/quota.rs
+++ b/crates/jb-relay/src/peers/message/quota.rs
@@ -1,9 +1,9 @@
-//! Charges to accounts of customers, their answers, and the counts of boxes that accounts go by.
+//! Charges to customers' quotas, and the counts of reachable boxes that scale the quotas.
 
 use jb_protocol::id;
 use serde::{Deserialize, Serialize};
 
-/// Boxes that the relay node of a data hall reaches, itself included.
+/// Number of boxes that the relay node of a data hall reaches, itself included.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct ReachableCount {
     /// Relay node.
@@ -14,34 +14,35 @@
     pub all: u32,
 }
 
-/// A request that counts in its customer's limit.
+/// Charges one request to its customer's quota.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct Charge {
-    /// Number that the answer repeats.
+    /// Number that the reply repeats.
     pub nonce: u64,
     /// Short name of the customer.
     pub customer: u32,
-    /// What it counts for.
+    /// Tokens that the request counts for.
     pub tokens: u64,
-    /// Whether it is of the most urgent kind.
-    pub urgent: bool,
-    /// Whether the first keeper gave no answer, so that others may ask another one.
-    pub again: bool,
-    /// What ran at this box without being charged; less than none is given back.
+    /// Whether the request is of the most urgent priority.
+    pub is_urgent: bool,
+    /// Whether the owner for the whole fleet did not answer, so that the boxes of other halls may be using
+    /// another owner.
+    pub is_fallback: bool,
+    /// Tokens that ran at this box without being charged; a negative number is refunded.
     pub uncharged: i64,
-    /// What the account had left by the last answer, unless that is outdated.
-    pub left: Option<i64>,
+    /// Tokens that the quota had left by the last reply, unless that reply is outdated.
+    pub remaining: Option<i64>,
 }
 
-/// PullBody of a customer's account.
+/// Answers a [`Charge`].
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct ChargeReply {
     /// Number of the charge.
     pub nonce: u64,
     /// Short name of the customer.
     pub customer: u32,
-    /// Time after which the request would be let in; `None` when it is.
-    pub after_ms: Option<u32>,
-    /// What the account has left.
-    pub left: i64,
+    /// Time after which the request would be admitted, in milliseconds; `None` when it is admitted.
+    pub retry_after_ms: Option<u32>,
+    /// Tokens that the quota has left.
+    pub remaining: i64,
 }
--- a/crates/jb-relay/src/peers/message/rate_limit.rs
+++ b/crates/jb-relay/src/peers/message/rate_limit.rs
@@ -1,8 +1,8 @@
-//! Rate limits that upstreams announce, and permits for single requests.
+//! Rate limits that upstreams signal, and permits for single requests.
 
 use serde::{Deserialize, Serialize};
 
-/// Rate limit of an instance as a box observed it.
+/// Rate limit of an instance, as a box has observed it.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct Observation {
     /// Requests per second; `None` for no limit.
@@ -14,30 +14,30 @@
 /// Announces that instances have become limited, or unlimited.
 #[derive(Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct Limits {
-    /// Short name of each instance with its limit.
+    /// Short name and limit of each instance.
     pub instances: Vec<(u32, Observation)>,
 }
 
 /// Asks the owner of a limit for a permit to send one request.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct Acquire {
-    /// Number that the answer repeats.
+    /// Number that the reply repeats.
     pub nonce: u64,
     /// Short name of the instance.
     pub instance: u32,
     /// The limit as the asker knows it.
     pub observation: Observation,
-    /// Whether the owner for the whole fleet didn't answer.
+    /// Whether the owner for the whole fleet did not answer.
     pub is_fallback: bool,
 }
 
-/// PullBody to [`Acquire`].
+/// Answers [`Acquire`].
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct Permit {
     /// Number of the query.
     pub nonce: u64,
     /// Time after which to ask again, in milliseconds; `None` when the request may be sent.
-    pub after_ms: Option<u32>,
+    pub retry_after_ms: Option<u32>,
     /// The limit as the owner knows it.
     pub observation: Option<Observation>,
 }
--- a/crates/jb-relay/src/peers/message/releases.rs
+++ b/crates/jb-relay/src/peers/message/releases.rs
@@ -1,30 +1,30 @@
-//! Releases of weights, and restores of the store.
+//! Releases of model weights.
 
 use serde::{Deserialize, Serialize};
 
-/// Asks when weights were released.
+/// Asks when versions of weights were released.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct QueryReleases {
-    /// Moment of the query, by the asker's clock in milliseconds; the answer repeats it.
+    /// Time of the query by the sender's clock, in milliseconds; the reply repeats it.
     pub asked_ms: u64,
 }
 
-/// Releases that a box knows.
+/// Answers [`QueryReleases`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct Releases {
-    /// Moment of the query, by the asker's clock in milliseconds.
+    /// Time of the query by the clock of the box that sent it, in milliseconds.
     pub asked_ms: u64,
-    /// Releases.
+    /// Releases that the sender knows.
     pub releases: Vec<Release>,
 }
 
-/// Release of one version.
+/// Release of one version of a model's weights.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct Release {
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Version.
+    /// Version of the weights.
     pub version: u64,
-    /// Upper bound of the time since its release, in milliseconds.
+    /// Upper bound of the time since the release, in milliseconds.
     pub age_ms: u64,
 }
--- a/crates/jb-relay/src/peers/message/reservation.rs
+++ b/crates/jb-relay/src/peers/message/reservation.rs
@@ -1,70 +1,70 @@
-//! Questions to accounts of engines, and their answers.
+//! Reservations of capacity at engines.
 
 use jb_policy::account::Place;
 use serde::{Deserialize, Serialize};
 
 use crate::peers::reservation::Outcome;
 
-/// Where a box takes a place at an engine.
+/// Condition under which a reservation is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Admission {
-    /// Nowhere: it only looks.
+    /// Makes none: the box only asks for the engine's state.
     Inspect,
-    /// Where at most so many prompt tokens wait, and a place is free.
+    /// Makes one if the engine has a free slot and at most this many prompt tokens are queued there.
     QueueLimit(u32),
-    /// Wherever it asks: it has compared.
+    /// Always makes one: the box has already compared the engines.
     Always,
 }
 
-/// A question to the account of an engine.
+/// Asks the owner of an engine for a reservation.
 #[derive(Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct Reserve {
-    /// Id of the place.
-    pub place: Place,
-    /// Lower half of the hash of the engine's id.
+    /// Id of the reservation.
+    pub id: Place,
+    /// Short name of the engine: the lower half of the hash of its id.
     pub engine: u32,
-    /// Shared parts of the prompt with their tokens.
+    /// Shared segments of the prompt with their tokens.
     pub shared: Vec<(u64, u32)>,
-    /// Tokens of its own, read and made.
+    /// Tokens of the prompt that are not shared, and tokens to generate.
     pub own: u32,
-    /// Where a place is to be taken.
-    pub room: Admission,
-    /// Time until its request must have ended.
-    pub left_ms: u32,
+    /// Condition under which the reservation is made.
+    pub admission: Admission,
+    /// Time until the deadline of the request, in milliseconds.
+    pub deadline_ms: u32,
 }
 
-/// PullBody of an engine's account.
+/// Answers [`Reserve`] with the state of the engine.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct ReserveReply {
-    /// Id of the place.
-    pub place: Place,
-    /// Lower half of the hash of the engine's id.
+    /// Id of the reservation.
+    pub id: Place,
+    /// Short name of the engine: the lower half of the hash of its id.
     pub engine: u32,
-    /// Whether the engine may get requests.
-    pub open: bool,
-    /// Version of the engine's weights; 0 where it has no model.
+    /// Whether the engine may be sent requests.
+    pub is_open: bool,
+    /// Version of the engine's weights; 0 if it has no model.
     pub weights: u64,
-    /// Whether the place is taken.
-    pub taken: bool,
-    /// Requests under way there before.
+    /// Whether the reservation was made.
+    pub is_reserved: bool,
+    /// Requests that were in flight there before.
     pub running: u32,
-    /// Prompt tokens that wait there before it.
+    /// Prompt tokens that were queued there before.
     pub waiting: u32,
-    /// Tokens of the prompt that the engine keeps.
-    pub found: u32,
-    /// Whether the engine is to send the prompt's parts to a store.
+    /// Tokens of the prompt that are in the engine's cache.
+    pub cached_tokens: u32,
+    /// Whether the engine is to send the prompt's segments to a cache store.
     pub send_to_store: bool,
-    /// Whether a store has them.
-    pub stored: bool,
+    /// Whether a cache store has them.
+    pub is_stored: bool,
 }
 
-/// What became of a place.
+/// Reports progress or the end of a request with a reservation.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct ReservationUpdate {
-    /// Id of the place.
-    pub place: Place,
-    /// Lower half of the hash of the engine's id.
+    /// Id of the reservation.
+    pub id: Place,
+    /// Short name of the engine: the lower half of the hash of its id.
     pub engine: u32,
-    /// How the request ended; none when its first token has come.
-    pub ending: Option<Outcome>,
+    /// How the request ended; `None` when its first token has arrived.
+    pub outcome: Option<Outcome>,
 }
--- a/crates/jb-relay/src/peers/message/status.rs
+++ b/crates/jb-relay/src/peers/message/status.rs
@@ -1,97 +1,97 @@
-//! Status of a box: its loads, prompts and weights.
+//! Status of a box: its loads, cache uses and loaded weights.
 
 use jb_protocol::id;
 use serde::{Deserialize, Serialize};
 
-/// Status of a box, or of many as their relay node sums it up.
+/// Status of a box, or of several boxes as summed up by their relay node.
 #[derive(Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct Status {
-    /// Box.
+    /// Box that sends the status.
     pub from: id::Box,
-    /// Whether the receiver is to answer with the sum of the others.
+    /// Whether the receiver is to reply with the sum of the other boxes' loads.
     pub wants_sum: bool,
-    /// Loads, only of upstreams that have some.
+    /// Loads of the upstreams that have any.
     pub loads: Vec<UpstreamLoad>,
-    /// Engines that load weights or have loaded them.
+    /// Engines that are loading weights or have loaded them.
     pub weights: Vec<LoadedWeights>,
     /// Prompts that were sent to engines since the last status.
     pub uses: Vec<CacheUse>,
-    /// Span in which the store has answered the box or others.
+    /// Time span in which the store has answered this box or others.
     pub store: Option<StoreSpan>,
 }
 
-/// Span of time in which the store answered, but for silences that cost no entry.
+/// Time span in which the store answered, not counting outages too short for any entry to expire.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct StoreSpan {
-    /// Begin of the span before the message was sent, in milliseconds.
+    /// Start of the span, in milliseconds before the message was sent.
     pub from_ms: u64,
-    /// End of the span before the message was sent, in milliseconds.
+    /// End of the span, in milliseconds before the message was sent.
     pub until_ms: u64,
 }
 
-/// Load that boxes put on an upstream.
+/// Load that boxes place on an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamLoad {
-    /// Lower half of the hash of the upstream's id.
+    /// Short name of the upstream: the lower half of the hash of its id.
     pub upstream: u32,
-    /// Requests under way.
+    /// Requests in flight.
     pub running: u32,
-    /// Those of them that cannot go on elsewhere.
+    /// Requests in flight that cannot be resumed at another upstream.
     pub fixed: u32,
-    /// Prompt tokens that wait.
+    /// Prompt tokens that are queued.
     pub waiting: u64,
 }
 
 impl UpstreamLoad {
-    /// Returns whether it is no load at all.
+    /// Returns whether all numbers are 0.
     pub fn is_empty(&self) -> bool {
         self.running == 0 && self.fixed == 0 && self.waiting == 0
     }
 }
 
-/// An engine begins to load weights, or has them.
+/// Weights that an engine is loading or has loaded.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LoadedWeights {
-    /// Lower half of the hash of the engine's id.
+    /// Short name of the engine: the lower half of the hash of its id.
     pub upstream: u32,
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Version that it has now; 0 while it loads.
+    /// Version that the engine has; 0 while it is loading.
     pub version: u64,
 }
 
-/// A prompt that was sent to an engine or a store.
+/// A prompt that was sent to an engine or a cache store, and is now in its cache.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct CacheUse {
-    /// Hash of the engine's id, or of a store's address.
-    pub place: u64,
-    /// Version of the weights, for a store; 0 for an engine.
+    /// Hash of the engine's id, or of the cache store's address.
+    pub target: u64,
+    /// Version of the weights for a cache store; 0 for an engine.
     pub version: u64,
-    /// Shared segments with their tokens.
+    /// Shared segments of the prompt with their tokens.
     pub shared: Vec<(u64, u32)>,
-    /// Tokens of its own, read and made.
+    /// Tokens of the prompt that are not shared, and generated tokens.
     pub own: u32,
 }
 
 /// Long prompts that a box has sent since its last status.
 #[derive(Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct LongPrompts {
-    /// Box.
+    /// Box that sent the prompts.
     pub from: id::Box,
-    /// Upstream of each prompt with the tokens that it has to read.
+    /// For each prompt, the short name of the upstream and the tokens that it must prefill.
     pub prompts: Vec<(u32, u32)>,
 }
 
-/// Instances that have signalled in responses that they drain.
+/// Instances that have signalled in responses that they are draining.
 #[derive(Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct Draining {
-    /// Lower halves of the hashes of their names.
+    /// Short names of the instances: the lower halves of the hashes of their ids.
     pub upstreams: Vec<u32>,
 }
 
-/// Incarnations of upstreams that are no longer at their addresses.
+/// Incarnations of upstreams whose addresses are now used by others.
 #[derive(Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct Replaced {
-    /// Lower halves of the hashes of their ids.
+    /// Short names of the incarnations: the lower halves of the hashes of their ids.
     pub upstreams: Vec<u32>,
 }
--- a/crates/jb-relay/src/peers/message/suspicion.rs
+++ b/crates/jb-relay/src/peers/message/suspicion.rs
@@ -4,27 +4,27 @@
 
 use crate::quarantine::Trial;
 
-/// Evidence on some requests.
+/// Evidence on several requests.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct Suspects {
-    /// Requests.
+    /// One row for each request.
     pub rows: Vec<Suspect>,
 }
 
-/// Evidence on one request, also as it stands in the store.
+/// Evidence on one request. It is also stored as JSON, as a quarantine record.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct Suspect {
-    /// Hash of the request.
+    /// Hash of the request's content.
     pub content: u128,
     /// Time since the last evidence, in milliseconds.
     pub age_ms: u64,
-    /// Short names of the engines that ended while they ran it.
+    /// Short names of the engines that crashed while they ran it.
     pub ended: Vec<u32>,
-    /// Those of them where it was the only suspect; records in the store keep this name.
+    /// Those of them where it was the only suspect. Stored records name this field `apart`.
     #[serde(rename = "apart")]
     pub isolated: Vec<u32>,
     /// Engines that completed it.
     pub well: Vec<u32>,
-    /// A trial that the sender has begun or ended.
+    /// A trial run that the sender has begun or ended.
     pub trial: Option<Trial>,
 }
--- a/crates/jb-relay/src/peers/pull.rs
+++ b/crates/jb-relay/src/peers/pull.rs
@@ -1,8 +1,7 @@
-//! PullReply of the store from the relay node of the data hall, so that not every box asks the store.
+//! Pulls changes of the store from the relay node of the data hall, so that not every box reads the store.
 //!
-//! An answer proves what was in force when the relay node's own call was sent. The
-//! asker counts from the moment it asked, so a late datagram makes the
-//! knowledge older, never younger.
+//! A reply proves what was in force when the relay node sent its own call to the store. The requester counts the age
+//! from the time at which it sent the request, so a late datagram makes the knowledge older, never younger.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -14,7 +13,7 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-use super::change_log::{ChangeLog, NUMBERS, size};
+use super::change_log::{ChangeLog, MAX_OVERHEAD_BYTES, max_encoded_size};
 use super::message::{Chunk, MAX_DATAGRAM_BYTES, Message, Pull, PullBody, PullMore, PullReply, StoreChange};
 use super::socket::send;
 use super::transfer;
@@ -22,37 +21,37 @@
 use crate::port::{Change, Era, Revision};
 use crate::saturating_cast::saturating_cast;
 
-/// Time in which the relay node answers.
-const ANSWER: Duration = Duration::from_millis(250);
-/// Oldest knowledge that is sent. What a relay node knows is between one and two pauses of its calls
-/// old; with two as the limit, askers that call at the same pace always met it a little older.
-const OLDEST: Duration = Duration::from_millis(1800);
-/// Bytes of a message without its changes, at the most.
-const FRAME: usize = 64;
-/// Longest changes that are sent in datagrams, in bytes.
+/// Time within which the relay node must reply.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(250);
+/// Age above which knowledge is not sent. What a relay node knows is between one and two of its polling intervals
+/// old. With a limit of two intervals, requesters that poll at the same rate always met it slightly too old.
+const MAX_AGE: Duration = Duration::from_millis(1800);
+/// Upper bound of the size of a message without its changes, in bytes.
+const MAX_HEADER_BYTES: usize = 64;
+/// Size of the changes above which they are sent over a connection instead of in datagrams, in bytes.
 const MAX_PULL_BYTES: usize = 16 * 1024;
 
-/// What fits into one datagram of the changes that a box asks for, but for the first `skip` ones,
-/// which it has.
-fn changes_since(log: &ChangeLog, ask: &Pull, skip: u32) -> PullBody {
-    let Some(since) = log.since(ask.after) else {
+/// Returns those of the requested changes that fit into one datagram, without the first `skip` ones, which the
+/// requester already has.
+fn changes_since(log: &ChangeLog, pull: &Pull, skip: u32) -> PullBody {
+    let Some(since) = log.since(pull.after) else {
         return PullBody::UseTransfer;
     };
-    if skip == 0 && ask.from == 0 && log.encoded_size_since(ask.after) > MAX_PULL_BYTES {
+    if skip == 0 && pull.offset == 0 && log.encoded_size_since(pull.after) > MAX_PULL_BYTES {
         return PullBody::UseTransfer;
     }
-    let mut room = MAX_DATAGRAM_BYTES - FRAME;
+    let mut room = MAX_DATAGRAM_BYTES - MAX_HEADER_BYTES;
     let mut changes = Vec::new();
-    let mut revision = ask.after;
+    let mut revision = pull.after;
     for change in since.skip(skip as usize) {
-        let Some(left) = room.checked_sub(size(change)) else {
+        let Some(left) = room.checked_sub(max_encoded_size(change)) else {
             return if changes.is_empty() {
-                piece(change, ask)
+                chunk(change, pull)
             } else {
                 PullBody::Changes {
                     changes,
                     revision,
-                    whole: false,
+                    is_complete: false,
                 }
             };
         };
@@ -63,29 +62,29 @@
     PullBody::Changes {
         changes,
         revision: revision.max(log.revision()),
-        whole: true,
+        is_complete: true,
     }
 }
 
-/// The next piece of a change that is too long for one datagram.
-fn piece(change: &Change, ask: &Pull) -> PullBody {
-    let from = ask.from as usize;
+/// Returns the next chunk of a change that is too long for one datagram.
+fn chunk(change: &Change, pull: &Pull) -> PullBody {
+    let offset = pull.offset as usize;
     let value = change.value.as_deref().unwrap_or_default();
-    let without = change.key.len() + NUMBERS;
-    let rest = value.get(from..).unwrap_or_default();
-    let room = (MAX_DATAGRAM_BYTES - FRAME).saturating_sub(without);
+    let overhead = change.key.len() + MAX_OVERHEAD_BYTES;
+    let rest = value.get(offset..).unwrap_or_default();
+    let room = (MAX_DATAGRAM_BYTES - MAX_HEADER_BYTES).saturating_sub(overhead);
     if rest.is_empty() || room == 0 {
         return PullBody::UseTransfer;
     }
     PullBody::Chunk(Chunk {
         change: StoreChange::without_value(change),
         total: saturating_cast(value.len()),
-        from: saturating_cast(from),
+        offset: saturating_cast(offset),
         bytes: rest[..rest.len().min(room)].to_vec(),
     })
 }
 
-/// The question that waits for its answer.
+/// The request that waits for its reply.
 #[derive(Debug, Default)]
 pub struct PendingPull {
     nonce: Cell<u64>,
@@ -93,42 +92,42 @@
 }
 
 impl PendingPull {
-    /// Hands an answer to the question that it belongs to.
-    pub(super) fn deliver(&self, news: PullReply) {
+    /// Passes a reply to the request that it belongs to.
+    pub(super) fn deliver(&self, reply: PullReply) {
         let mut waiting = self.waiting.borrow_mut();
-        if waiting.as_ref().is_some_and(|(nonce, _)| *nonce == news.nonce) {
-            // The asker may have given up in this moment.
-            let _ = waiting.take().map(|(_, sender)| sender.send(news));
+        if waiting.as_ref().is_some_and(|(nonce, _)| *nonce == reply.nonce) {
+            // The requester may have timed out at this moment.
+            let _ = waiting.take().map(|(_, sender)| sender.send(reply));
         }
     }
 }
 
-/// All changes since the revision that was asked for; everything where they are of a later era.
+/// All changes since the requested revision, or all items of the store if that is of a later era.
 #[derive(Debug)]
 pub struct Update {
-    /// Changes, the older first.
+    /// Changes, the oldest first.
     pub changes: Vec<Change>,
-    /// Revision after them.
+    /// Revision that the store has after them.
     pub revision: Revision,
-    /// When they were true, at the earliest.
+    /// Earliest time at which this was the state of the store.
     pub proven: Moment,
-    /// Whether they are all that the store holds.
+    /// Whether the changes are all items of the store.
     pub whole: bool,
 }
 
-/// Whom a box asks for news of the store.
+/// Boxes from which changes of the store are pulled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The relay node of its own data hall.
     RelayNode,
-    /// The relay nodes of all data halls in turn, as its own path to the store is cut.
+    /// The relay nodes of all data halls in turn, because the box can't reach the store itself.
     AnyRelayNode,
 }
 
-/// Asks other boxes for news.
+/// Pulls the changes after a revision from relay nodes.
 ///
 /// # Errors
-/// Why the last box that was asked brought none.
+/// Why the last relay node that was asked sent none.
 pub async fn pull_changes(
     core: &Core,
     socket: &UdpSocket,
@@ -137,11 +136,11 @@
 ) -> Result<Update, Error> {
     let relay_nodes = match source {
         Source::RelayNode => own_relay_node(core).into_iter().collect(),
-        Source::AnyRelayNode => any_relay_node(core),
+        Source::AnyRelayNode => all_relay_nodes(core),
     };
     let mut error = Error::Nobody;
     for relay_node in relay_nodes {
-        match ask_one(core, socket, after, &relay_node).await {
+        match pull_from(core, socket, after, &relay_node).await {
             Ok(update) => return Ok(update),
             Err(why) => error = why,
         }
@@ -152,24 +151,23 @@
     Err(error)
 }
 
-/// Why another box brought no news.
+/// Why a relay node sent no changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// There is no relay node but this box.
+    /// No box but this one is known as a relay node.
     Nobody,
-    /// It is not known any more, or gave no answer in time.
+    /// The relay node is no longer listed, or did not reply in time.
     Silent,
-    /// It knows nothing that is recent.
+    /// What the relay node knows is too old.
     Outdated,
-    /// It does not know what has changed.
+    /// The relay node does not have the changes.
     KnowsNoMore,
-    /// Its answer belongs to another question, or to another era than the one before.
+    /// The reply belongs to another request, or to another era than the previous reply.
     OutOfTurn,
 }
 
-/// Asks one box until it has sent all: the rest at another box may be in another
-/// order.
-async fn ask_one(
+/// Pulls from one box until it has sent all changes: another box may have the rest in another order.
+async fn pull_from(
     core: &Core,
     socket: &UdpSocket,
     after: Revision,
@@ -177,58 +175,58 @@
 ) -> Result<Update, Error> {
     let address = core.book.borrow().address(relay_node).ok_or(Error::Silent)?;
     let mut all: Vec<Change> = Vec::new();
-    // The next value, as far as it has come in pieces.
+    // The chunks of the next value that have arrived.
     let mut value = Vec::new();
     let mut era = None;
     loop {
-        let asked = core.now();
-        let ask = Pull {
+        let requested_at = core.now();
+        let pull = Pull {
             nonce: 0,
             after,
-            from: saturating_cast(value.len()),
+            offset: saturating_cast(value.len()),
         };
-        let Some(news) = question(core, socket, address, ask, saturating_cast(all.len())).await else {
+        let Some(reply) = request(core, socket, address, pull, saturating_cast(all.len())).await else {
             core.book.borrow_mut().mark_silent(relay_node, core.now());
             return Err(Error::Silent);
         };
-        if let Some(present) = era_of(&news.answer)
-            && *era.get_or_insert(present) != present
+        if let Some(received) = era_of(&reply.body)
+            && *era.get_or_insert(received) != received
         {
             return Err(Error::OutOfTurn);
         }
-        match news.answer {
+        match reply.body {
             PullBody::ReadStore => return Err(Error::Outdated),
-            PullBody::UseTransfer => return transferred(core, address, after).await,
+            PullBody::UseTransfer => return transfer_from(core, address, after).await,
             PullBody::Changes {
                 changes,
                 revision,
-                whole,
+                is_complete,
             } => {
                 all.extend(changes.into_iter().map(Change::from));
-                if whole {
+                if is_complete {
                     return Ok(Update {
                         whole: after.era < revision.era,
                         changes: all,
                         revision,
-                        proven: asked.saturating_sub(Duration::from_millis(news.age_ms)),
+                        proven: requested_at.saturating_sub(Duration::from_millis(reply.age_ms)),
                     });
                 }
             }
-            PullBody::Chunk(piece) => {
-                // A late answer to a question before.
-                if piece.from != ask.from || piece.bytes.is_empty() {
+            PullBody::Chunk(chunk) => {
+                // A late reply to a previous request.
+                if chunk.offset != pull.offset || chunk.bytes.is_empty() {
                     return Err(Error::OutOfTurn);
                 }
-                value.extend_from_slice(&piece.bytes);
-                if value.len() >= piece.total as usize {
-                    all.push(piece.change.with_value(std::mem::take(&mut value)));
+                value.extend_from_slice(&chunk.bytes);
+                if value.len() >= chunk.total as usize {
+                    all.push(chunk.change.with_value(std::mem::take(&mut value)));
                 }
             }
         }
     }
 }
 
-async fn transferred(core: &Core, from: SocketAddr, after: Revision) -> Result<Update, Error> {
+async fn transfer_from(core: &Core, from: SocketAddr, after: Revision) -> Result<Update, Error> {
     let transfer = transfer::fetch_changes(core, from, Some(after))
         .await
         .map_err(|why| {
@@ -243,11 +241,11 @@
     })
 }
 
-/// Era of the store that an answer is about.
-fn era_of(answer: &PullBody) -> Option<Era> {
-    match answer {
+/// Returns the era of the store that a reply is about.
+fn era_of(body: &PullBody) -> Option<Era> {
+    match body {
         PullBody::Changes { revision, .. } => Some(revision.era),
-        PullBody::Chunk(piece) => Some(piece.change.revision.era),
+        PullBody::Chunk(chunk) => Some(chunk.change.revision.era),
         PullBody::ReadStore | PullBody::UseTransfer => None,
     }
 }
@@ -261,9 +259,9 @@
     relay_node.filter(|relay_node| *relay_node != core.settings.id)
 }
 
-/// The relay nodes of all data halls, beginning with another one each time: a relay node may itself be turned
-/// away, and the others still answer. A box far from the root asks some of them.
-fn any_relay_node(core: &Core) -> Vec<id::Box> {
+/// Returns the relay nodes of all data halls, starting with a different one each time: the store may reject a relay
+/// node as well, while the others still have answers. A box far from the root of the tree asks only some of them.
+fn all_relay_nodes(core: &Core) -> Vec<id::Box> {
     let (own, hall) = (&core.settings.id, &core.settings.hall);
     let mut relay_nodes = core.book.borrow().other_relay_nodes(hall, core.now());
     relay_nodes.extend(own_relay_node(core));
@@ -275,38 +273,38 @@
     relay_nodes
 }
 
-/// One question and its answer, if it comes in time.
-async fn question(
+/// Sends one request; returns the reply if it arrives in time.
+async fn request(
     core: &Core,
     socket: &UdpSocket,
     to: SocketAddr,
-    ask: Pull,
+    pull: Pull,
     skip: u32,
 ) -> Option<PullReply> {
     let (sender, receiver) = oneshot::channel();
     let nonce = core.relayed.nonce.get() + 1;
     core.relayed.nonce.set(nonce);
     *core.relayed.waiting.borrow_mut() = Some((nonce, sender));
-    let ask = Pull { nonce, ..ask };
+    let pull = Pull { nonce, ..pull };
     let message = match skip {
-        0 => Message::Pull(ask),
-        skip => Message::PullMore(PullMore { ask, skip }),
+        0 => Message::Pull(pull),
+        skip => Message::PullMore(PullMore { pull, skip }),
     };
     send(core, socket, to, &message).await;
-    timeout(ANSWER, receiver).await.ok()?.ok()
+    timeout(REPLY_TIMEOUT, receiver).await.ok()?.ok()
 }
 
-/// Returns whether a box may send what it knows, by its age.
+/// Returns whether knowledge of this age may be sent to other boxes.
 pub fn is_fresh(age: Duration) -> bool {
-    age < OLDEST
+    age < MAX_AGE
 }
 
-/// Answers another box that has the first `skip` changes already.
-pub(super) async fn answer(core: &Core, socket: &UdpSocket, from: SocketAddr, ask: Pull, skip: u32) {
-    // Without knowledge, or with old knowledge, the asker is better off with the store.
+/// Replies to another box, which already has the first `skip` changes.
+pub(super) async fn reply(core: &Core, socket: &UdpSocket, from: SocketAddr, pull: Pull, skip: u32) {
+    // If this box knows nothing recent, the requester should read the store itself.
     let age = core.age().filter(|age| is_fresh(*age));
-    let answer = age.map_or(PullBody::ReadStore, |_| {
-        changes_since(&core.log.borrow(), &ask, skip)
+    let body = age.map_or(PullBody::ReadStore, |_| {
+        changes_since(&core.log.borrow(), &pull, skip)
     });
     let age_ms = age.map_or(0, |age| u64::try_from(age.as_millis() + 1).unwrap_or(u64::MAX));
     send(
@@ -314,9 +312,9 @@
         socket,
         from,
         &Message::PullReply(PullReply {
-            nonce: ask.nonce,
+            nonce: pull.nonce,
             age_ms,
-            answer,
+            body,
         }),
     )
     .await;
--- a/crates/jb-relay/src/peers/query.rs
+++ b/crates/jb-relay/src/peers/query.rs
@@ -1,4 +1,4 @@
-//! Questions to the boxes that keep accounts: one datagram there, and one back in time or never.
+//! Queries to the boxes that own shared state: one datagram each way, without retransmission.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::HashMap;
@@ -16,15 +16,15 @@
 use super::socket::try_send;
 use crate::core::Core;
 
-/// Questions under way, by what their answers repeat.
+/// Queries in flight, by the key that the reply repeats.
 #[derive(Debug)]
-pub(super) struct Queries<K, A> {
+pub(super) struct Queries<K, R> {
     socket: OnceCell<Rc<UdpSocket>>,
-    waiting: RefCell<HashMap<K, oneshot::Sender<A>>>,
+    waiting: RefCell<HashMap<K, oneshot::Sender<R>>>,
     next_nonce: Cell<u64>,
 }
 
-impl<K, A> Default for Queries<K, A> {
+impl<K, R> Default for Queries<K, R> {
     fn default() -> Self {
         Self {
             socket: OnceCell::new(),
@@ -34,28 +34,28 @@
     }
 }
 
-impl<K: Copy + Eq + Hash, A> Queries<K, A> {
-    /// Takes the socket to ask over.
+impl<K: Copy + Eq + Hash, R> Queries<K, R> {
+    /// Sets the socket for queries.
     pub fn set_socket(&self, socket: Rc<UdpSocket>) {
-        // A box is started once.
+        // Called once, at the start of the box.
         let _ = self.socket.set(socket);
     }
 
-    /// Returns a number that no question of this box had before.
+    /// Returns a number that no other query of this box has.
     pub fn next_nonce(&self) -> u64 {
         self.next_nonce.set(self.next_nonce.get() + 1);
         self.next_nonce.get()
     }
 
-    /// Sends a message that wants no answer.
+    /// Sends a message that has no reply.
     pub fn send(&self, core: &Core, to: SocketAddr, message: &Message) {
         if let Some(socket) = self.socket.get() {
             try_send(core, socket, to, message);
         }
     }
 
-    /// Asks a box, which has `time` to answer besides the way; `None` when it gives no answer in time, which counts
-    /// against it.
+    /// Sends a query to a box, which has `time` to reply in addition to the round trip. Returns `None` if it does not
+    /// reply in time; the directory then counts the query as unanswered.
     pub async fn query(
         &self,
         core: &Core,
@@ -63,30 +63,30 @@
         key: K,
         message: &Message,
         time: Duration,
-    ) -> Option<A> {
+    ) -> Option<R> {
         let hall = core.book.borrow().hall(id).cloned().unwrap_or_default();
-        let (asked, time) = (core.now(), core.round_trips.timeout(&hall, time));
-        let (answered, answer) = oneshot::channel();
-        self.waiting.borrow_mut().insert(key, answered);
+        let (sent, time) = (core.now(), core.round_trips.timeout(&hall, time));
+        let (sender, receiver) = oneshot::channel();
+        self.waiting.borrow_mut().insert(key, sender);
         self.send(core, address, message);
-        let answer = timeout(time, answer).await;
+        let reply = timeout(time, receiver).await;
         self.waiting.borrow_mut().remove(&key);
         let mut book = core.book.borrow_mut();
-        if let Ok(Ok(answer)) = answer {
+        if let Ok(Ok(reply)) = reply {
             book.mark_alive(id);
-            core.round_trips.record(&hall, core.now().saturating_sub(asked));
-            return Some(answer);
+            core.round_trips.record(&hall, core.now().saturating_sub(sent));
+            return Some(reply);
         }
         book.note_unanswered(id, core.now());
         None
     }
 
-    /// Hands an answer to the question that it belongs to.
-    pub fn deliver(&self, key: K, answer: A) {
-        let asker = self.waiting.borrow_mut().remove(&key);
-        if let Some(asker) = asker {
-            // An asker that has gone on needs no answer.
-            let _ = asker.send(answer);
+    /// Passes a reply to the query that it belongs to.
+    pub fn deliver(&self, key: K, reply: R) {
+        let sender = self.waiting.borrow_mut().remove(&key);
+        if let Some(sender) = sender {
+            // The query may have timed out at this moment.
+            let _ = sender.send(reply);
         }
     }
 }
--- a/crates/jb-relay/src/peers/quota.rs
+++ b/crates/jb-relay/src/peers/quota.rs
@@ -62,7 +62,7 @@
         let mut known = self.known.borrow_mut();
         let left = Left {
             at: now,
-            tokens: grant.left,
+            tokens: grant.remaining,
         };
         known.entry(grant.customer).or_default().left = Some(left);
     }
@@ -112,14 +112,14 @@
         nonce: core.quotas.queries.next_nonce(),
         customer,
         tokens,
-        urgent: request.route.priority <= request.configuration.top_priority,
-        again: false,
+        is_urgent: request.route.priority <= request.configuration.top_priority,
+        is_fallback: false,
         uncharged: core.quotas.take_uncharged(customer),
-        left: left(core, customer),
+        remaining: remaining(core, customer),
     };
     let (owner, grant) = judge(core, &mut charge).await;
     core.quotas.apply_grant(&grant, core.now());
-    let Some(after) = grant.after_ms else {
+    let Some(after) = grant.retry_after_ms else {
         return Ok(Some(ChargedRequest {
             core,
             customer,
@@ -132,7 +132,7 @@
         .map(|quota| quota.limit.rate);
     core.metrics.limited.inc();
     emit!(core.logger, info, event::REQUEST_LIMITED, "request" => &request.id, "customer" => name,
-        "tokens" => tokens, "limit_per_s" => limit, "left" => grant.left, "owner" => owner, "after_ms" => after);
+        "tokens" => tokens, "limit_per_s" => limit, "left" => grant.remaining, "owner" => owner, "after_ms" => after);
     Err(Duration::from_millis(after.into()))
 }
 
@@ -142,7 +142,7 @@
     let first = core.book.borrow().fleet_owner(key, core.now());
     let granted = owner::query(core, key, first, async |owner, scope| {
         if scope == Scope::Hall {
-            charge.again = true;
+            charge.is_fallback = true;
             // What was reported to a box that gave no answer may be counted twice, not given back twice.
             charge.uncharged = charge.uncharged.max(0);
         }
@@ -156,7 +156,7 @@
 }
 
 /// What the account had left by the last answer, unless that is outdated.
-fn left(core: &Core, customer: u32) -> Option<i64> {
+fn remaining(core: &Core, customer: u32) -> Option<i64> {
     let known = core.quotas.known.borrow();
     let left = known.get(&customer)?.left?;
     (core.now() < left.at + core.settings.bounds.quota_tolerance.window).then_some(left.tokens)
@@ -165,7 +165,7 @@
 /// Asks a box that keeps an account, which may be this one.
 async fn ask(core: &Core, (id, address): &Owner, charge: &Charge) -> Option<ChargeReply> {
     if *id == core.settings.id {
-        return Some(answer(core, charge, Scope::of_query(charge.again)));
+        return Some(answer(core, charge, Scope::of_query(charge.is_fallback)));
     }
     let message = Message::Charge(*charge);
     let queries = &core.quotas.queries;
@@ -184,7 +184,7 @@
             core,
             socket,
             from,
-            &Message::ChargeReply(answer(core, charge, Scope::of_query(charge.again))),
+            &Message::ChargeReply(answer(core, charge, Scope::of_query(charge.is_fallback))),
         );
     }
 }
@@ -210,12 +210,12 @@
         share: scope.share(core),
     };
     let mut accounts = core.quotas.accounts.borrow_mut();
-    let begin = || Account::new(&terms, charge.left.map(|left| left as f64), now);
+    let begin = || Account::new(&terms, charge.remaining.map(|left| left as f64), now);
     let account = accounts.entry(charge.customer).or_insert_with(begin);
     account.settle(&terms, charge.uncharged as f64);
     let charged = quota::Charge {
         tokens: charge.tokens,
-        urgent: charge.urgent,
+        urgent: charge.is_urgent,
     };
     let taken = account.take(&terms, charged, now);
     grant(charge, taken, account.level())
@@ -225,7 +225,7 @@
     ChargeReply {
         nonce: charge.nonce,
         customer: charge.customer,
-        after_ms: taken.err().map(|after| saturating_cast(after.as_millis())),
-        left: left as i64,
+        retry_after_ms: taken.err().map(|after| saturating_cast(after.as_millis())),
+        remaining: left as i64,
     }
 }
--- a/crates/jb-relay/src/peers/rate_limit.rs
+++ b/crates/jb-relay/src/peers/rate_limit.rs
@@ -125,7 +125,7 @@
     if let Some(observation) = answer.observation {
         merge(core, upstream, observation);
     }
-    let Some(after) = answer.after_ms else {
+    let Some(after) = answer.retry_after_ms else {
         return Ok(Permit::Granted);
     };
     core.metrics.rate_limit_denied.inc();
@@ -143,7 +143,7 @@
         .and_then(|rate| take(core, query.instance, rate, scope));
     Answer {
         nonce: query.nonce,
-        after_ms: after.map(|after| saturating_cast(after.as_millis().max(1))),
+        retry_after_ms: after.map(|after| saturating_cast(after.as_millis().max(1))),
         observation: Some(to_message(observation, now)),
     }
 }
--- a/crates/jb-relay/src/peers/reservation.rs
+++ b/crates/jb-relay/src/peers/reservation.rs
@@ -1,9 +1,8 @@
-//! Reservations of engines: each has one owner in the engine's data hall, which the other boxes ask
-//! before they send a prompt.
+//! Reservations of capacity at engines. The in-flight requests of each engine are tracked by one owner in the engine's
+//! data hall, which the other boxes ask for a reservation before they send a prompt.
 //!
-//! The owner is chosen among the reachable boxes by rendezvous hashing. A
-//! question is one datagram, and so is its answer; without an answer in time the asker decides
-//! by what it knows itself.
+//! The owner is chosen among the reachable boxes by rendezvous hashing. The query is one datagram, and so is the reply;
+//! without a reply in time the asking box decides by its own knowledge.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -24,81 +23,82 @@
 use crate::saturating_cast::saturating_cast;
 use crate::upstream::{Instance, Upstream};
 
-/// Time that an owner has to answer, besides the way: its part of a core may be spent for the moment.
-const ANSWER: Duration = Duration::from_millis(25);
+/// Time that an owner has to reply, in addition to the round trip: it may have used up its share of a CPU core for the
+/// moment.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(25);
 
 /// How a request ended at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Outcome {
-    /// Well.
+    /// The request completed.
     Succeeded,
-    /// Through the engine's fault.
+    /// The engine failed the request.
     Failed,
-    /// Without telling anything about the engine.
+    /// The request ended in a way that says nothing about the engine's health.
     Unknown,
 }
 
-/// What a box asks for itself.
+/// Reservation queries of this box that wait for replies.
 #[derive(Debug, Default)]
 pub struct Reservations {
     queries: Queries<(Place, u32), ReserveReply>,
 }
 
 impl Reservations {
-    /// Takes the socket to ask over.
+    /// Sets the socket for queries.
     pub fn set_socket(&self, socket: Rc<UdpSocket>) {
         self.queries.set_socket(socket);
     }
 
-    /// Id for a new place.
+    /// Returns the id of a new reservation.
     fn draw_id(&self, own: &str) -> Place {
         rendezvous::weight(self.queries.next_nonce(), rendezvous::name_hash(own))
     }
 }
 
-/// A prompt for which places are asked.
+/// A prompt for which capacity is to be reserved.
 #[derive(Clone, Copy, Debug)]
 pub struct Prompt<'a> {
-    /// Shared parts.
+    /// Shared segments.
     pub shared: &'a [Segment],
-    /// Tokens of its own, read and made.
+    /// Tokens of the prompt that are not shared, and tokens to generate.
     pub own: u64,
-    /// When its request must have ended.
+    /// Deadline of the request.
     pub deadline: Moment,
 }
 
-/// State of an engine by its account.
+/// State of an engine, as its owner reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineState {
-    /// Whether the engine may get requests.
+    /// Whether the engine may be sent requests.
     pub is_open: bool,
-    /// Whether a place is taken.
+    /// Whether the reservation was made.
     pub is_reserved: bool,
-    /// Load before.
+    /// Load of the engine without the reservation.
     pub load: Load,
-    /// Tokens of the prompt that the engine keeps.
+    /// Tokens of the prompt that are in the engine's cache.
     pub cached_tokens: u64,
-    /// Whether the engine is to send the parts to a store.
+    /// Whether the engine is to send the prompt's segments to a cache store.
     pub send_to_store: bool,
-    /// Whether a store has the parts.
+    /// Whether a cache store has them.
     pub is_stored: bool,
 }
 
-/// A place that may have been taken; it is given back when dropped.
+/// A reservation that may have been made; it is released when dropped.
 pub struct Reservation {
     core: Shared,
     engine: Instance,
-    place: Place,
+    id: Place,
     outcome: Rc<Cell<Outcome>>,
 }
 
 impl Reservation {
-    /// The first token has come.
+    /// Reports that the first token has arrived.
     pub fn note_first_token(&self) {
-        give_back(&self.core, &self.engine, self.place, None);
+        report(&self.core, &self.engine, self.id, None);
     }
 
-    /// Where the ending is noted before the place is given back.
+    /// Returns the cell for the outcome, which is reported when the reservation is released.
     pub fn outcome(&self) -> Rc<Cell<Outcome>> {
         Rc::clone(&self.outcome)
     }
@@ -106,37 +106,37 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        give_back(&self.core, &self.engine, self.place, Some(self.outcome.get()));
+        report(&self.core, &self.engine, self.id, Some(self.outcome.get()));
     }
 }
 
-/// Id under which a box asks for one send.
+/// Returns the id of a new reservation of this box.
 pub fn draw_reservation_id(core: &Core) -> Place {
     core.accounts.draw_id(&core.settings.id)
 }
 
-/// A place at an engine, to be given back.
-pub fn hold(core: &Shared, engine: &Instance, place: Place) -> Reservation {
+/// Returns a guard that releases a reservation at an engine when it is dropped.
+pub fn hold(core: &Shared, engine: &Instance, id: Place) -> Reservation {
     Reservation {
         core: Rc::clone(core),
         engine: engine.clone(),
-        place,
+        id,
         outcome: Rc::new(Cell::new(Outcome::Unknown)),
     }
 }
 
-/// Asks the account of an engine for a place, which is taken as `room` says; `None` when no box
-/// answers in time.
+/// Asks the owner of an engine for a reservation, which is made if `admission` allows it. Returns the engine's state, or
+/// `None` if the owner does not reply in time.
 pub async fn request(
     core: &Core,
     engine: &Instance,
-    place: Place,
+    id: Place,
     prompt: &Prompt<'_>,
-    room: Admission,
+    admission: Admission,
 ) -> Option<EngineState> {
     let (name, owner) = owner(core, engine)?;
-    let question = Reserve {
-        place,
+    let query = Reserve {
+        id,
         engine: name,
         shared: prompt
             .shared
@@ -144,54 +144,53 @@
             .map(|segment| (segment.id, saturating_cast(segment.tokens)))
             .collect(),
         own: saturating_cast(prompt.own),
-        room,
-        left_ms: saturating_cast(prompt.deadline.saturating_sub(core.now()).as_millis()),
+        admission,
+        deadline_ms: saturating_cast(prompt.deadline.saturating_sub(core.now()).as_millis()),
     };
-    let Some((id, address)) = owner else {
-        return Some(view(answer(core, &question)?));
+    let Some((owner_id, address)) = owner else {
+        return Some(state(answer(core, &query)?));
     };
     let queries = &core.accounts.queries;
-    let message = Message::Reserve(question);
-    let answer = queries.query(core, (&id, address), (place, name), &message, ANSWER);
-    let Some(advice) = answer.await else {
+    let message = Message::Reserve(query);
+    let reply = queries.query(core, (&owner_id, address), (id, name), &message, REPLY_TIMEOUT);
+    let Some(reply) = reply.await else {
         core.metrics.unadvised.inc();
         return None;
     };
-    take_weights(core, engine, &advice);
-    Some(view(advice))
+    apply_weights(core, engine, &reply);
+    Some(state(reply))
 }
 
-/// Applies newer weights of an engine.
-fn take_weights(core: &Core, engine: &Instance, advice: &ReserveReply) {
+/// Applies the version of the weights if it is newer than the known one.
+fn apply_weights(core: &Core, engine: &Instance, reply: &ReserveReply) {
     let mut upstreams = core.upstreams.borrow_mut();
     let Some(upstream) = upstreams.instance_mut(engine) else {
         return;
     };
     let model = upstream.entry.models.first().cloned();
-    if let Some(loaded) = model.filter(|loaded| loaded.version < advice.weights) {
-        upstream.observe_weights(&loaded.model, advice.weights);
+    if let Some(loaded) = model.filter(|loaded| loaded.version < reply.weights) {
+        upstream.observe_weights(&loaded.model, reply.weights);
     }
 }
 
-fn view(advice: ReserveReply) -> EngineState {
+fn state(reply: ReserveReply) -> EngineState {
     EngineState {
-        is_open: advice.open,
-        is_reserved: advice.taken,
+        is_open: reply.is_open,
+        is_reserved: reply.is_reserved,
         load: Load {
-            running: advice.running,
-            waiting: u64::from(advice.waiting),
+            running: reply.running,
+            waiting: u64::from(reply.waiting),
         },
-        cached_tokens: u64::from(advice.found),
-        send_to_store: advice.send_to_store,
-        is_stored: advice.stored,
+        cached_tokens: u64::from(reply.cached_tokens),
+        send_to_store: reply.send_to_store,
+        is_stored: reply.is_stored,
     }
 }
 
-/// Short name of an engine, and the box that keeps its account with its address; no box when it
-/// is this one.
-type AccountOwner = (u32, Option<(String, SocketAddr)>);
+/// Short name of an engine, and its owner with the address; `None` if this box is the owner.
+type EngineOwner = (u32, Option<(String, SocketAddr)>);
 
-fn owner(core: &Core, engine: &Instance) -> Option<AccountOwner> {
+fn owner(core: &Core, engine: &Instance) -> Option<EngineOwner> {
     let upstreams = core.upstreams.borrow();
     let upstream = upstreams.instance(engine)?;
     let name = rendezvous::short_hash(upstream.name);
@@ -201,158 +200,157 @@
     Some((name, owner))
 }
 
-fn give_back(core: &Core, engine: &Instance, place: Place, ending: Option<Outcome>) {
+fn report(core: &Core, engine: &Instance, id: Place, outcome: Option<Outcome>) {
     let Some((name, owner)) = owner(core, engine) else {
         return;
     };
-    let returned = ReservationUpdate {
-        place,
+    let update = ReservationUpdate {
+        id,
         engine: name,
-        ending,
+        outcome,
     };
     match owner {
-        Some((_, address)) => {
-            core.accounts
-                .queries
-                .send(core, address, &Message::ReservationUpdate(returned))
-        }
-        // What this box saw itself it has judged.
+        Some((_, address)) => core
+            .accounts
+            .queries
+            .send(core, address, &Message::ReservationUpdate(update)),
+        // This box has already applied the outcome of its own request to the engine's health.
         None => {
-            take_back(core, &returned);
+            apply_update(core, &update);
         }
     }
 }
 
-/// Takes a question of another box.
-pub(super) fn receive_question(core: &Core, socket: &UdpSocket, from: SocketAddr, question: &Reserve) {
+/// Answers a query of another box.
+pub(super) fn receive_reserve(core: &Core, socket: &UdpSocket, from: SocketAddr, query: &Reserve) {
     if !is_known(core, from) {
         return;
     }
-    if let Some(advice) = answer(core, question) {
-        try_send(core, socket, from, &Message::ReserveReply(advice));
+    if let Some(reply) = answer(core, query) {
+        try_send(core, socket, from, &Message::ReserveReply(reply));
     }
 }
 
-/// Receives the end of a place from another box.
-pub(super) fn receive_returned(core: &Core, from: SocketAddr, returned: &ReservationUpdate) {
-    if is_known(core, from) && take_back(core, returned) {
-        judge(core, returned);
+/// Receives the progress or end of a reservation of another box.
+pub(super) fn receive_update(core: &Core, from: SocketAddr, update: &ReservationUpdate) {
+    if is_known(core, from) && apply_update(core, update) {
+        apply_outcome(core, update);
     }
 }
 
-/// Whether a datagram comes from a box that is listed.
+/// Returns whether a datagram comes from a listed box; otherwise counts and logs it.
 pub(super) fn is_known(core: &Core, from: SocketAddr) -> bool {
     let known = core.book.borrow().contains_address(from);
     if !known {
         core.metrics.strange.inc();
-        emit!(core.logger, debug, event::PEER_REFUSED, "peer" => %from, "why" => "not a box that is known");
+        emit!(core.logger, debug, event::PEER_REFUSED, "peer" => %from, "why" => "datagram dropped: sender is not a listed box");
     }
     known
 }
 
-/// Takes the answer to a question of this box.
-pub(super) fn deliver(core: &Core, advice: ReserveReply) {
-    let key = (advice.place, advice.engine);
-    core.accounts.queries.deliver(key, advice);
+/// Passes a reply to the query of this box that it belongs to.
+pub(super) fn deliver(core: &Core, reply: ReserveReply) {
+    let key = (reply.id, reply.engine);
+    core.accounts.queries.deliver(key, reply);
 }
 
-fn answer(core: &Core, question: &Reserve) -> Option<ReserveReply> {
+fn answer(core: &Core, query: &Reserve) -> Option<ReserveReply> {
     let now = core.now();
     let memory = |service: &str| {
         let configuration = core.configuration()?;
         Some(configuration.services.get(service)?.kv_capacity_tokens)
     };
     let mut upstreams = core.upstreams.borrow_mut();
-    let upstream = upstreams.by_short_name_mut(question.engine)?;
+    let upstream = upstreams.by_short_name_mut(query.engine)?;
     let memory = memory(&upstream.entry.service).unwrap_or_default();
     upstream.set_memory(memory);
-    let shared: Vec<Segment> = question
+    let shared: Vec<Segment> = query
         .shared
         .iter()
-        .map(|&(part, tokens)| Segment {
-            id: part,
+        .map(|&(segment, tokens)| Segment {
+            id: segment,
             tokens: u64::from(tokens),
         })
         .collect();
     let all: u64 = shared.iter().map(|segment| segment.tokens).sum();
-    let found = upstream.cache.cached_tokens(&shared);
+    let cached_tokens = upstream.cache.cached_tokens(&shared);
     let load = upstream.account.load();
-    let open = upstream.is_open(now);
+    let is_open = upstream.is_open(now);
     let slots = upstream.entry.slots;
-    let taken = match question.room {
+    let is_reserved = match query.admission {
         Admission::Always => true,
         Admission::Inspect => false,
-        Admission::QueueLimit(limit) => open && load.has_room(slots, u64::from(limit)),
+        Admission::QueueLimit(limit) => is_open && load.has_room(slots, u64::from(limit)),
     };
     let family = family(upstream, &shared);
-    let stored = family.is_some_and(|family| upstream.account.is_sent(family, now));
+    let is_stored = family.is_some_and(|family| upstream.account.is_sent(family, now));
     let mut send_to_store = false;
-    if taken {
+    if is_reserved {
         send_to_store = family.is_some_and(|family| {
             upstream
                 .account
-                .send_due(family, u64::from(question.own) <= all / 2, now)
+                .send_due(family, u64::from(query.own) <= all / 2, now)
         });
-        let read = u64::from(question.own) + if stored { 0 } else { all - found };
-        let until = now + Duration::from_millis(question.left_ms.into());
-        upstream.account.take(question.place, read, until);
+        let prefill = u64::from(query.own) + if is_stored { 0 } else { all - cached_tokens };
+        let deadline = now + Duration::from_millis(query.deadline_ms.into());
+        upstream.account.take(query.id, prefill, deadline);
         upstream.health.note_sent();
-        upstream.cache.insert(shared.into_iter(), u64::from(question.own));
+        upstream.cache.insert(shared.into_iter(), u64::from(query.own));
     }
     Some(ReserveReply {
-        place: question.place,
-        engine: question.engine,
-        open,
+        id: query.id,
+        engine: query.engine,
+        is_open,
         weights: upstream.entry.models.first().map_or(0, |loaded| loaded.version),
-        taken,
+        is_reserved,
         running: load.running,
         waiting: saturating_cast(load.waiting),
-        found: saturating_cast(found),
+        cached_tokens: saturating_cast(cached_tokens),
         send_to_store,
-        stored,
+        is_stored,
     })
 }
 
-/// Number of the prompt's deepest shared part under the engine's weights.
+/// Returns an id of the prompt's last shared segment under the version of the engine's weights.
 fn family(upstream: &Upstream, shared: &[Segment]) -> Option<u64> {
     let version = upstream.entry.models.first()?.version;
     Some(rendezvous::weight(shared.last()?.id, version))
 }
 
-/// Drops places that were never given back.
+/// Drops reservations that were never released.
 pub fn expire_reservations(core: &Core) {
     let now = core.now();
     for upstream in core.upstreams.borrow_mut().values_mut() {
         if upstream.account.expire(now) > 0 {
-            // One of them may have been the one request that tries a failing engine.
+            // One of them may have been the single request that probes a failing engine.
             upstream.health.note_inconclusive();
         }
     }
 }
 
-/// Releases a place, or notes its first token; returns whether its request has ended.
-fn take_back(core: &Core, returned: &ReservationUpdate) -> bool {
+/// Releases a reservation, or notes its first token; returns whether its request has ended.
+fn apply_update(core: &Core, update: &ReservationUpdate) -> bool {
     let mut upstreams = core.upstreams.borrow_mut();
-    let Some(upstream) = upstreams.by_short_name_mut(returned.engine) else {
+    let Some(upstream) = upstreams.by_short_name_mut(update.engine) else {
         return false;
     };
-    if returned.ending.is_none() {
-        upstream.account.begin(returned.place);
+    if update.outcome.is_none() {
+        upstream.account.begin(update.id);
         return false;
     }
-    upstream.account.end(returned.place)
+    upstream.account.end(update.id)
 }
 
-/// Judges an engine by how a request of another box has ended there.
-fn judge(core: &Core, returned: &ReservationUpdate) {
+/// Applies the outcome of another box's request to the engine's health.
+fn apply_outcome(core: &Core, update: &ReservationUpdate) {
     let mut upstreams = core.upstreams.borrow_mut();
-    let Some(upstream) = upstreams.by_short_name_mut(returned.engine) else {
+    let Some(upstream) = upstreams.by_short_name_mut(update.engine) else {
         return;
     };
     let now = core.now();
-    let change = match returned.ending {
+    let change = match update.outcome {
         Some(Outcome::Succeeded) => upstream.health.note_success(),
-        // What was sent before the engine was ejected shows nothing new.
+        // Requests sent before the engine was ejected show nothing new.
         Some(Outcome::Failed) if upstream.health.is_available(now) => upstream.health.note_failure(now),
         _ => {
             upstream.health.note_inconclusive();
@@ -360,6 +358,6 @@
         }
     };
     if change == Change::Ejected {
-        emit!(core.logger, warn, event::UPSTREAM_EJECTED, "upstream" => returned.engine, "why" => "failed for several boxes");
+        emit!(core.logger, warn, event::UPSTREAM_EJECTED, "upstream" => update.engine, "why" => "requests of several boxes failed");
     }
 }
--- a/crates/jb-relay/src/peers/status.rs
+++ b/crates/jb-relay/src/peers/status.rs
@@ -64,7 +64,7 @@
         .map(|segment| (segment.id, saturating_cast(segment.tokens)))
         .collect();
     loads.own.push(CacheUse {
-        place: prompt.target,
+        target: prompt.target,
         version: prompt.version,
         shared,
         own: saturating_cast(prompt.own),
@@ -227,14 +227,14 @@
     });
     let own = u64::from(status.own);
     if status.version > 0 {
-        if let Some(store) = core.cache_stores.borrow_mut().by_name(status.place) {
+        if let Some(store) = core.cache_stores.borrow_mut().by_name(status.target) {
             store.note_store(shared, status.version, own);
         }
         return;
     }
     let mut upstreams = core.upstreams.borrow_mut();
-    let upstream = upstreams.by_short_name_mut(rendezvous::short_hash(status.place));
-    if let Some(upstream) = upstream.filter(|upstream| upstream.name == status.place) {
+    let upstream = upstreams.by_short_name_mut(rendezvous::short_hash(status.target));
+    if let Some(upstream) = upstream.filter(|upstream| upstream.name == status.target) {
         upstream.cache.insert(shared, own);
     }
 }
