--- a/crates/jb-relay/src/peers/owner.rs
+++ b/crates/jb-relay/src/peers/owner.rs
@@ -1,7 +1,7 @@
-//! Which box owns a piece of shared state, and how much of the fleet it answers for.
+//! Which box owns a piece of shared state, and which share of the fleet it decides for.
 //!
-//! Each piece has one owner, by rendezvous hashing over the reachable boxes. Where it doesn't answer in
-//! time, a box of the own data hall is asked, and at last the asker decides by its own share.
+//! Each piece has one owner, chosen by rendezvous hashing over the reachable boxes. If the owner does not reply in time,
+//! a box of the own data hall is queried. If that does not reply either, the asking box decides by its own share.
 
 use std::net::SocketAddr;
 
@@ -11,27 +11,27 @@
 use crate::core::Core;
 use crate::saturating_cast::saturating_cast;
 
-/// A box with the address of its datagrams.
+/// A box, with the address to which datagrams are sent.
 pub(super) type Owner = (id::Box, SocketAddr);
 
-/// Boxes that an owner answers for.
+/// Boxes for which an owner decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Scope {
     /// All boxes that it reaches.
     Fleet,
-    /// Those of its data hall; a box of each other hall may be asked in the same way.
+    /// The boxes of its data hall; each other hall may use an owner of its own in the same way.
     Hall,
-    /// Itself.
+    /// Only itself.
     Own,
 }
 
 impl Scope {
-    /// Scope of a query to a box other than the asker.
+    /// Returns the scope of a query that is sent to an owner.
     pub(super) fn of_query(is_fallback: bool) -> Self {
         if is_fallback { Self::Hall } else { Self::Fleet }
     }
 
-    /// Share of the fleet that this box answers for, 0 to 1.
+    /// Returns the share of the fleet for which this box decides, 0 to 1.
     pub(super) fn share(self, core: &Core) -> f64 {
         let fleet = reachability::fleet_size(core);
         let listed = f64::from(saturating_cast(core.book.borrow().boxes()));
@@ -44,23 +44,23 @@
     }
 }
 
-/// Asks the owner `first` of the state under `key`, then the one of the own data hall; returns the answer
-/// with the box that gave it, or nothing when neither answers in time.
-pub(super) async fn query<A>(
+/// Queries `first`, the owner of the state under `key`, and then the fallback owner of the own data hall. Returns the
+/// reply with the box that sent it, or `None` if neither replies in time.
+pub(super) async fn query<R>(
     core: &Core,
     key: u64,
     first: Option<Owner>,
-    mut send: impl AsyncFnMut(&Owner, Scope) -> Option<A>,
-) -> Option<(id::Box, A)> {
+    mut send: impl AsyncFnMut(&Owner, Scope) -> Option<R>,
+) -> Option<(id::Box, R)> {
     let first = first?;
-    if let Some(answer) = send(&first, Scope::Fleet).await {
-        return Some((first.0, answer));
+    if let Some(reply) = send(&first, Scope::Fleet).await {
+        return Some((first.0, reply));
     }
     let hall = &core.settings.hall;
     let fallback = core
         .book
         .borrow()
         .fallback_owner(key, hall, &first.0, core.now())?;
-    let answer = send(&fallback, Scope::Hall).await?;
-    Some((fallback.0, answer))
+    let reply = send(&fallback, Scope::Hall).await?;
+    Some((fallback.0, reply))
 }
--- a/crates/jb-relay/src/peers/quota.rs
+++ b/crates/jb-relay/src/peers/quota.rs
@@ -1,6 +1,7 @@
-//! Customers' limits: one box keeps the account of each, and the others ask it for every request.
+//! Enforces customers' quotas over all boxes: one box owns the token bucket of each customer, and the others charge every
+//! request to it.
 //!
-//! [`super::owner`] says which box that is.
+//! [`super::owner`] chooses the owner.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -22,64 +23,64 @@
 use crate::core::{Core, Shared};
 use crate::saturating_cast::saturating_cast;
 
-/// Time in which an account answers: 0.2 to 2 ms on the way, the rest for a box whose part of a
-/// core is spent for the moment.
-const ANSWER: Duration = Duration::from_millis(30);
+/// Time that an owner has to reply: the round trip takes 0.2 to 2 ms, and the rest is for a box that has used up its
+/// share of a CPU core for the moment.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// What a box knows of the account of one customer.
+/// What a box that doesn't own a customer's bucket knows of it.
 #[derive(Clone, Copy, Debug, Default)]
-struct Known {
-    /// What was left by the last answer.
-    left: Option<Left>,
-    /// What ran here without being charged, less what is given back.
+struct LocalState {
+    /// Level of the bucket by the last reply.
+    level: Option<Level>,
+    /// Tokens that ran at this box without being charged, minus refunds.
     uncharged: i64,
 }
 
-/// What an account had left at a moment.
+/// Level of a bucket at a point in time.
 #[derive(Clone, Copy, Debug)]
-struct Left {
+struct Level {
     at: Moment,
     tokens: i64,
 }
 
-/// The limits as one box sees them.
+/// Quota state of one box.
 #[derive(Debug, Default)]
 pub struct Quotas {
     queries: Queries<u64, ChargeReply>,
-    /// Accounts that this box keeps, by the customer's short name.
-    accounts: RefCell<HashMap<u32, Account>>,
-    /// What this box knows of accounts.
-    known: RefCell<HashMap<u32, Known>>,
+    /// Buckets that this box owns, by the customer's short name.
+    buckets: RefCell<HashMap<u32, Account>>,
+    /// What this box knows of all buckets, by the customer's short name.
+    local: RefCell<HashMap<u32, LocalState>>,
 }
 
 impl Quotas {
-    /// Takes the socket to ask over.
+    /// Sets the socket for queries.
     pub fn set_socket(&self, socket: Rc<UdpSocket>) {
         self.queries.set_socket(socket);
     }
 
-    fn apply_grant(&self, grant: &ChargeReply, now: Moment) {
-        let mut known = self.known.borrow_mut();
-        let left = Left {
+    fn apply_reply(&self, reply: &ChargeReply, now: Moment) {
+        let mut local = self.local.borrow_mut();
+        let level = Level {
             at: now,
-            tokens: grant.remaining,
+            tokens: reply.remaining,
         };
-        known.entry(grant.customer).or_default().left = Some(left);
+        local.entry(reply.customer).or_default().level = Some(level);
     }
 
-    /// Counts what ran without being charged; less than none is given back.
-    fn count(&self, customer: u32, tokens: i64) {
-        let mut known = self.known.borrow_mut();
-        known.entry(customer).or_default().uncharged += tokens;
+    /// Counts tokens that ran without being charged; a negative number is refunded.
+    fn count_uncharged(&self, customer: u32, tokens: i64) {
+        let mut local = self.local.borrow_mut();
+        local.entry(customer).or_default().uncharged += tokens;
     }
 
     fn take_uncharged(&self, customer: u32) -> i64 {
-        let mut known = self.known.borrow_mut();
-        std::mem::take(&mut known.entry(customer).or_default().uncharged)
+        let mut local = self.local.borrow_mut();
+        std::mem::take(&mut local.entry(customer).or_default().uncharged)
     }
 }
 
-/// A request that was let in.
+/// A request that was charged and admitted.
 pub struct ChargedRequest<'a> {
     core: &'a Core,
     customer: u32,
@@ -87,19 +88,19 @@
 }
 
 impl ChargedRequest<'_> {
-    /// Gives back what has not run, and counts what may have run more than once.
+    /// Corrects the charge by the number of times that the request may have run: refunds it for 0, adds to it above 1.
     pub fn settle(self, runs: u32) {
         let tokens = i64::try_from(self.tokens).unwrap_or(i64::MAX);
-        let beyond = i64::from(runs) - 1;
-        let uncharged = tokens.saturating_mul(beyond);
-        self.core.quotas.count(self.customer, uncharged);
+        let extra_runs = i64::from(runs) - 1;
+        let uncharged = tokens.saturating_mul(extra_runs);
+        self.core.quotas.count_uncharged(self.customer, uncharged);
     }
 }
 
-/// Charges a request's part of its customer's limit; `None` where there is no limit.
+/// Charges a request to its customer's quota; returns `None` if the customer has none.
 ///
 /// # Errors
-/// The time after which the request would be let in.
+/// The time after which the request would be admitted.
 pub async fn charge<'a>(
     core: &'a Shared,
     request: &AdmittedRequest,
@@ -117,9 +118,9 @@
         uncharged: core.quotas.take_uncharged(customer),
         remaining: remaining(core, customer),
     };
-    let (owner, grant) = judge(core, &mut charge).await;
-    core.quotas.apply_grant(&grant, core.now());
-    let Some(after) = grant.retry_after_ms else {
+    let (owner, reply) = decide_or_query(core, &mut charge).await;
+    core.quotas.apply_reply(&reply, core.now());
+    let Some(after) = reply.retry_after_ms else {
         return Ok(Some(ChargedRequest {
             core,
             customer,
@@ -132,100 +133,100 @@
         .map(|quota| quota.limit.rate);
     core.metrics.limited.inc();
     emit!(core.logger, info, event::REQUEST_LIMITED, "request" => &request.id, "customer" => name,
-        "tokens" => tokens, "limit_per_s" => limit, "left" => grant.remaining, "owner" => owner, "after_ms" => after);
+        "tokens" => tokens, "limit_per_s" => limit, "left" => reply.remaining, "owner" => owner, "after_ms" => after);
     Err(Duration::from_millis(after.into()))
 }
 
-/// The grant of the account, with the box that keeps it.
-async fn judge(core: &Core, charge: &mut Charge) -> (id::Box, ChargeReply) {
+/// Returns the reply to a charge, with the box that decided it: the owner, or this box if no owner replies.
+async fn decide_or_query(core: &Core, charge: &mut Charge) -> (id::Box, ChargeReply) {
     let key = u64::from(charge.customer);
     let first = core.book.borrow().fleet_owner(key, core.now());
-    let granted = owner::query(core, key, first, async |owner, scope| {
+    let decided = owner::query(core, key, first, async |owner, scope| {
         if scope == Scope::Hall {
             charge.is_fallback = true;
-            // What was reported to a box that gave no answer may be counted twice, not given back twice.
+            // The box that did not reply may have applied the correction: it may be charged twice, but not refunded twice.
             charge.uncharged = charge.uncharged.max(0);
         }
-        ask(core, owner, charge).await
+        query(core, owner, charge).await
     });
-    if let Some(granted) = granted.await {
-        return granted;
+    if let Some(decided) = decided.await {
+        return decided;
     }
     core.metrics.limit_alone.inc();
-    (core.settings.id.clone(), answer(core, charge, Scope::Own))
+    (core.settings.id.clone(), decide(core, charge, Scope::Own))
 }
 
-/// What the account had left by the last answer, unless that is outdated.
+/// Returns the tokens that the quota had left by the last reply, unless that reply is outdated.
 fn remaining(core: &Core, customer: u32) -> Option<i64> {
-    let known = core.quotas.known.borrow();
-    let left = known.get(&customer)?.left?;
-    (core.now() < left.at + core.settings.bounds.quota_tolerance.window).then_some(left.tokens)
+    let local = core.quotas.local.borrow();
+    let level = local.get(&customer)?.level?;
+    (core.now() < level.at + core.settings.bounds.quota_tolerance.window).then_some(level.tokens)
 }
 
-/// Asks a box that keeps an account, which may be this one.
-async fn ask(core: &Core, (id, address): &Owner, charge: &Charge) -> Option<ChargeReply> {
+/// Queries the owner of a bucket, which may be this box.
+async fn query(core: &Core, (id, address): &Owner, charge: &Charge) -> Option<ChargeReply> {
     if *id == core.settings.id {
-        return Some(answer(core, charge, Scope::of_query(charge.is_fallback)));
+        return Some(decide(core, charge, Scope::of_query(charge.is_fallback)));
     }
     let message = Message::Charge(*charge);
     let queries = &core.quotas.queries;
-    let answer = queries.query(core, (id, *address), charge.nonce, &message, ANSWER);
-    let grant = answer.await;
-    if grant.is_none() {
+    let reply = queries.query(core, (id, *address), charge.nonce, &message, REPLY_TIMEOUT);
+    let reply = reply.await;
+    if reply.is_none() {
         core.metrics.limit_unanswered.inc();
     }
-    grant
+    reply
 }
 
-/// Takes a charge of another box.
+/// Decides a charge of another box and replies to it.
 pub(super) fn receive_charge(core: &Core, socket: &UdpSocket, from: SocketAddr, charge: &Charge) {
     if super::reservation::is_known(core, from) {
         try_send(
             core,
             socket,
             from,
-            &Message::ChargeReply(answer(core, charge, Scope::of_query(charge.is_fallback))),
+            &Message::ChargeReply(decide(core, charge, Scope::of_query(charge.is_fallback))),
         );
     }
 }
 
-/// Takes the answer to a charge of this box.
-pub(super) fn deliver(core: &Core, grant: ChargeReply) {
-    core.quotas.queries.deliver(grant.nonce, grant);
+/// Passes a reply to the charge of this box that it belongs to.
+pub(super) fn deliver(core: &Core, reply: ChargeReply) {
+    core.quotas.queries.deliver(reply.nonce, reply);
 }
 
-/// Judges a charge by the account that this box keeps.
-fn answer(core: &Core, charge: &Charge, scope: Scope) -> ChargeReply {
+/// Decides a charge by the bucket that this box holds for the customer.
+fn decide(core: &Core, charge: &Charge, scope: Scope) -> ChargeReply {
     let now = core.now();
     let quota = core
         .configuration()
         .and_then(|configuration| configuration.customer_quota(charge.customer));
     let Some(Quota { limit, .. }) = quota else {
-        // The limit was removed by a configuration that the asker doesn't have yet.
-        return grant(charge, Ok(()), f64::MAX);
+        // The limit was removed by a configuration that the asking box doesn't have yet.
+        return reply(charge, Ok(()), f64::MAX);
     };
     let terms = Terms {
         limit,
         tolerance: core.settings.bounds.quota_tolerance,
         share: scope.share(core),
     };
-    let mut accounts = core.quotas.accounts.borrow_mut();
-    let begin = || Account::new(&terms, charge.remaining.map(|left| left as f64), now);
-    let account = accounts.entry(charge.customer).or_insert_with(begin);
-    account.settle(&terms, charge.uncharged as f64);
+    let mut buckets = core.quotas.buckets.borrow_mut();
+    let new_bucket = || Account::new(&terms, charge.remaining.map(|remaining| remaining as f64), now);
+    let bucket = buckets.entry(charge.customer).or_insert_with(new_bucket);
+    bucket.settle(&terms, charge.uncharged as f64);
     let charged = quota::Charge {
         tokens: charge.tokens,
         urgent: charge.is_urgent,
     };
-    let taken = account.take(&terms, charged, now);
-    grant(charge, taken, account.level())
+    let taken = bucket.take(&terms, charged, now);
+    reply(charge, taken, bucket.level())
 }
 
-fn grant(charge: &Charge, taken: Result<(), Duration>, left: f64) -> ChargeReply {
+fn reply(charge: &Charge, taken: Result<(), Duration>, remaining: f64) -> ChargeReply {
     ChargeReply {
         nonce: charge.nonce,
         customer: charge.customer,
         retry_after_ms: taken.err().map(|after| saturating_cast(after.as_millis())),
-        remaining: left as i64,
+        remaining: remaining as i64,
     }
 }
--- a/crates/jb-relay/src/peers/rate_limit.rs
+++ b/crates/jb-relay/src/peers/rate_limit.rs
@@ -14,7 +14,7 @@
 use jb_protocol::{emit, event};
 use tokio::net::UdpSocket;
 
-use super::message::{Acquire, Limits, Message, Observation, Permit as Answer};
+use super::message::{Acquire, Limits, Message, Observation, Permit as Reply};
 use super::owner::{self, Owner, Scope};
 use super::query::Queries;
 use super::socket::try_send;
@@ -22,28 +22,28 @@
 use crate::saturating_cast::saturating_cast;
 use crate::upstream::{Instance, Upstream};
 
-/// Time in which an owner answers.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(30);
-/// Longest time for which a denial is remembered, after which a box asks again.
+/// Time that an owner has to reply, in addition to the round trip.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(30);
+/// Longest time for which a box does not ask again after a denial.
 const MAX_BLOCK: Duration = Duration::from_secs(5);
-/// Limits in one datagram; each takes at most 19 bytes.
+/// Maximum number of limits in one datagram; each takes at most 19 bytes.
 const MAX_PER_DATAGRAM: usize = 64;
-/// Buckets above which those of unknown instances are dropped.
+/// Number of buckets above which those of unknown instances are dropped.
 const MAX_BUCKETS: usize = 256;
 
-/// Allows one request to be written to an instance.
+/// Permission to write one request to an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permit {
     /// The instance had no limit when the permit was issued.
     Unlimited,
-    /// The request was taken from the bucket of the instance.
+    /// A token was taken from the bucket of the instance.
     Granted,
 }
 
-/// State of a box that enforces limits.
+/// Rate limit state of one box.
 #[derive(Debug, Default)]
 pub struct RateLimits {
-    queries: Queries<u64, Answer>,
+    queries: Queries<u64, Reply>,
     /// Buckets that this box owns, by the instance's short name.
     buckets: RefCell<HashMap<u32, Bucket>>,
 }
@@ -55,10 +55,10 @@
     }
 }
 
-/// Acquires a permit to send one request to an instance; asks no other box where it is unlimited.
+/// Acquires a permit to send one request to an instance. No other box is asked if the instance is unlimited.
 ///
 /// # Errors
-/// The instance accepts no request now; until a permit may be available, it is not open at this box.
+/// Denied for the moment; this box then doesn't send requests to the instance until a permit may be available.
 pub async fn acquire_permit(core: &Core, instance: &Instance) -> Result<Permit, Denied> {
     let Some((name, owner, observation)) = limited(core, instance) else {
         return Ok(Permit::Unlimited);
@@ -69,25 +69,25 @@
         observation: to_message(observation, core.now()),
         is_fallback: false,
     };
-    let answer = owner::query(core, name, owner, async |owner, scope| {
+    let reply = owner::query(core, name, owner, async |owner, scope| {
         query.is_fallback = scope == Scope::Hall;
-        ask(core, owner, &query).await
+        query_owner(core, owner, &query).await
     });
-    let answer = match answer.await {
-        Some((_, answer)) => answer,
+    let reply = match reply.await {
+        Some((_, reply)) => reply,
         None => {
             core.metrics.rate_limit_alone.inc();
             decide(core, &query, Scope::Own)
         }
     };
-    apply(core, instance, &answer)
+    apply(core, instance, &reply)
 }
 
-/// An instance accepts no request now.
+/// The rate limit of an instance allows no request at the moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Denied;
 
-/// Name, owner and limit of an instance that has one.
+/// Returns the name, owner and limit of an instance that has a limit.
 fn limited(core: &Core, instance: &Instance) -> Option<(u64, Option<Owner>, rate_limit::Observation)> {
     let upstreams = core.upstreams.borrow();
     let upstream = upstreams.instance(instance)?;
@@ -100,32 +100,32 @@
     Some((upstream.name, owner, observation))
 }
 
-async fn ask(core: &Core, (id, address): &Owner, query: &Acquire) -> Option<Answer> {
+async fn query_owner(core: &Core, (id, address): &Owner, query: &Acquire) -> Option<Reply> {
     if *id == core.settings.id {
         return Some(decide(core, query, Scope::of_query(query.is_fallback)));
     }
     let message = Message::Acquire(*query);
     let queries = &core.rate_limits.queries;
-    let answer = queries
-        .query(core, (id, *address), query.nonce, &message, ANSWER_TIMEOUT)
+    let reply = queries
+        .query(core, (id, *address), query.nonce, &message, REPLY_TIMEOUT)
         .await;
-    if answer.is_none() {
+    if reply.is_none() {
         core.metrics.rate_limit_unanswered.inc();
     }
-    answer
+    reply
 }
 
-/// Updates the instance by an owner's answer.
-fn apply(core: &Core, instance: &Instance, answer: &Answer) -> Result<Permit, Denied> {
+/// Applies an owner's reply to the instance.
+fn apply(core: &Core, instance: &Instance, reply: &Reply) -> Result<Permit, Denied> {
     let now = core.now();
     let mut upstreams = core.upstreams.borrow_mut();
     let Some(upstream) = upstreams.instance_mut(instance) else {
         return Err(Denied);
     };
-    if let Some(observation) = answer.observation {
+    if let Some(observation) = reply.observation {
         merge(core, upstream, observation);
     }
-    let Some(after) = answer.retry_after_ms else {
+    let Some(after) = reply.retry_after_ms else {
         return Ok(Permit::Granted);
     };
     core.metrics.rate_limit_denied.inc();
@@ -135,31 +135,31 @@
 }
 
 /// Takes a token from the bucket that this box holds for the instance.
-fn decide(core: &Core, query: &Acquire, scope: Scope) -> Answer {
+fn decide(core: &Core, query: &Acquire, scope: Scope) -> Reply {
     let now = core.now();
     let observation = merged(core, query);
     let after = observation
         .rate
         .and_then(|rate| take(core, query.instance, rate, scope));
-    Answer {
+    Reply {
         nonce: query.nonce,
         retry_after_ms: after.map(|after| saturating_cast(after.as_millis().max(1))),
         observation: Some(to_message(observation, now)),
     }
 }
 
-/// Merges the limit that the asker knows; returns the latest one.
+/// Merges the limit that the asking box knows; returns the latest one.
 fn merged(core: &Core, query: &Acquire) -> rate_limit::Observation {
     let mut upstreams = core.upstreams.borrow_mut();
     let known = upstreams.by_short_name_mut(query.instance).and_then(|upstream| {
         merge(core, upstream, query.observation);
         upstream.limit.observation()
     });
-    // The entry of the instance may not have reached this box yet.
+    // This box may not have received the entry of the instance yet.
     known.unwrap_or_else(|| from_message(query.observation, core.now()))
 }
 
-/// Takes one request from a bucket; returns the time after which one is available if there is none.
+/// Takes a token from a bucket; returns the time until one is available if the bucket is empty.
 fn take(core: &Core, instance: u32, rate: rate_limit::Rate, scope: Scope) -> Option<Duration> {
     let now = core.now();
     let terms = rate_limit::terms(rate, scope.share(core));
@@ -177,7 +177,7 @@
     bucket.take(&terms, rate_limit::ONE_REQUEST, now).err()
 }
 
-/// Drops the buckets of unknown instances where there are too many.
+/// Drops the buckets of unknown instances if there are too many.
 fn drop_unknown(core: &Core, buckets: &mut HashMap<u32, Bucket>) {
     if buckets.len() > MAX_BUCKETS {
         let upstreams = core.upstreams.borrow();
@@ -189,21 +189,21 @@
     }
 }
 
-/// Answers another box that asks for a permit.
+/// Replies to a box that asks for a permit.
 pub(super) fn receive_acquire(core: &Core, socket: &UdpSocket, from: SocketAddr, query: &Acquire) {
     if !super::reservation::is_known(core, from) {
         return;
     }
-    let answer = decide(core, query, Scope::of_query(query.is_fallback));
-    try_send(core, socket, from, &Message::Permit(answer));
+    let reply = decide(core, query, Scope::of_query(query.is_fallback));
+    try_send(core, socket, from, &Message::Permit(reply));
 }
 
-/// Delivers an answer to the query of this box that it belongs to.
-pub(super) fn deliver(core: &Core, answer: Answer) {
-    core.rate_limits.queries.deliver(answer.nonce, answer);
+/// Passes a reply to the query of this box that it belongs to.
+pub(super) fn deliver(core: &Core, reply: Reply) {
+    core.rate_limits.queries.deliver(reply.nonce, reply);
 }
 
-/// Messages that announce the present limits of instances.
+/// Returns the messages that announce the current limits of instances.
 pub(super) fn announcements(core: &Core, instances: &[u32]) -> Vec<Message> {
     let now = core.now();
     let upstreams = core.upstreams.borrow();
--- a/crates/jb-relay/src/peers/reachability.rs
+++ b/crates/jb-relay/src/peers/reachability.rs
@@ -1,7 +1,7 @@
-//! How many boxes reach each other, by which a box knows the share of the fleet that it answers for.
+//! Counts how many boxes reach each other, so that a box knows the share of the fleet for which it decides.
 //!
-//! In a large fleet the relay nodes of the halls count the boxes that send them their status, and tell
-//! each other and their own boxes. An isolated box counts itself.
+//! In a large fleet the relay node of each hall counts the boxes that send it their status, and sends the count to the
+//! other relay nodes and to its own boxes. An isolated box counts only itself.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,46 +17,46 @@
 use crate::core::Core;
 use crate::saturating_cast::saturating_cast;
 
-/// Age of a status beyond which its box isn't counted: three periods and some.
+/// Age of a status above which its box isn't counted: a little over three intervals.
 const MAX_MEMBER_AGE: Duration = Duration::from_millis(700);
 /// The same for counts of relay nodes, and for boxes of a small fleet, which send less often.
 const MAX_COUNT_AGE: Duration = Duration::from_millis(1500);
-/// Time after its start in which a box takes all listed boxes for reachable while it has received no count:
+/// Time after its start in which a box assumes that all listed boxes are reachable, while it has received no count:
 /// boxes that start together are up after 0.2 to 2 s.
 const STARTUP_PERIOD: Duration = Duration::from_millis(4000);
-/// Time after its start from which on a relay node sends counts: before, the boxes of a fleet that starts
-/// together haven't all sent it their status.
+/// Time after its start before which a relay node sends no counts: until then, the boxes of a fleet that starts together
+/// haven't all sent it their status.
 const FIRST_COUNT_AT: Duration = Duration::from_millis(2000);
-/// Statuses for each count.
+/// Number of status intervals between two counts.
 const STATUSES_PER_COUNT: u32 = 3;
 
-/// Counts of relay nodes.
+/// Latest counts of the relay nodes.
 #[derive(Debug, Default)]
 pub struct Reachability {
-    /// Boxes of each other data hall, as its relay node counted last.
+    /// Boxes of each other data hall by the last count of its relay node, with the time of its arrival.
     halls: BTreeMap<id::Hall, (Moment, u32)>,
-    /// Boxes of the own data hall and of all, as the own relay node counted.
+    /// Last count of the own relay node, with the time of its arrival.
     relay_node: Option<(Moment, FleetSize)>,
     statuses: u32,
 }
 
-/// Boxes that reach each other.
+/// Number of boxes that reach each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetSize {
-    /// In the own data hall.
+    /// Boxes in the own data hall.
     pub hall: u32,
-    /// In all data halls.
+    /// Boxes in all data halls.
     pub all: u32,
 }
 
 impl Reachability {
-    /// Returns whether a relay node's count is due; called for each status.
+    /// Returns whether the count of this relay node is due; must be called once per status interval.
     pub fn is_due(&mut self, now: Moment) -> bool {
         self.statuses += 1;
         now >= FIRST_COUNT_AT && self.statuses.is_multiple_of(STATUSES_PER_COUNT)
     }
 
-    /// Returns the boxes that reach each other in a large fleet; `listed` are those that may be alive.
+    /// Returns the number of boxes that reach each other in a large fleet; `listed` are the boxes in the directory.
     pub fn fleet_size(&self, listed: FleetSize, now: Moment) -> FleetSize {
         match self.relay_node {
             Some((at, fleet)) if now < at + MAX_COUNT_AGE => fleet,
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Applies the count of the own relay node.
+    /// Records the count of the own relay node.
     pub fn record(&mut self, fleet: FleetSize, now: Moment) {
         self.relay_node = Some((now, fleet));
     }
 
-    /// Counts the fleet from the boxes of the own hall and the counts of other relay nodes.
+    /// Adds the counts of the other relay nodes to the boxes of the own hall.
     fn sum(&self, hall: u32, now: Moment) -> FleetSize {
         let fresh = self.halls.values().filter(|(at, _)| now < *at + MAX_COUNT_AGE);
         let others: u32 = fresh.map(|(_, boxes)| boxes).sum();
@@ -127,7 +127,7 @@
     }
 }
 
-/// Returns the boxes that reach each other, of those that may be alive.
+/// Returns the number of listed boxes that reach each other.
 pub(super) fn fleet_size(core: &Core) -> FleetSize {
     let now = core.now();
     let book = core.book.borrow();
@@ -150,7 +150,7 @@
     }
 }
 
-/// Returns whether the boxes of the own data hall reach no box of another one, where there are others.
+/// Returns whether there are other data halls, and the boxes of the own one reach no box of them.
 pub fn is_hall_isolated(core: &Core) -> bool {
     let fleet = fleet_size(core);
     let book = core.book.borrow();
--- a/crates/jb-relay/src/peers/round_trip.rs
+++ b/crates/jb-relay/src/peers/round_trip.rs
@@ -1,7 +1,7 @@
-//! Time of the way to the boxes of each data hall and back.
+//! Round-trip times to the boxes of each data hall.
 //!
-//! Questions between boxes are given up after a short time for the box to answer, to which the time of the way
-//! is added: between regions it is longer than a busy box of the own hall needs.
+//! The timeout of a query between boxes is a short time for the box to reply plus the round trip: between regions the
+//! round trip takes longer than a busy box of the own hall needs to reply.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -9,24 +9,24 @@
 
 use jb_protocol::id;
 
-/// Time of the way that is assumed before the first answer of a data hall.
-const UNKNOWN: Duration = Duration::from_millis(50);
-/// Longest time of the way that a question waits for.
+/// Round trip that is assumed before the first reply from a data hall.
+const DEFAULT_ROUND_TRIP: Duration = Duration::from_millis(50);
+/// Longest round trip that a query waits for.
 const MAX_ROUND_TRIP: Duration = Duration::from_millis(150);
-/// Weight of a new sample, as in RFC 6298.
-const SAMPLE_SHARE: f64 = 0.125;
+/// Weight of a new sample in the moving average, as in RFC 6298.
+const SAMPLE_WEIGHT: f64 = 0.125;
 
-/// Smoothed round trips, by data hall.
+/// Smoothed round-trip times, by data hall.
 #[derive(Debug, Default)]
 pub struct RoundTrips(RefCell<BTreeMap<id::Hall, Duration>>);
 
 impl RoundTrips {
-    /// Notes the time between a question to a box of a data hall and its answer.
+    /// Records the time between a query to a box of a data hall and its reply.
     pub fn record(&self, hall: &str, sample: Duration) {
         let mut halls = self.0.borrow_mut();
         match halls.get_mut(hall) {
             Some(smoothed) => {
-                *smoothed = smoothed.mul_f64(1.0 - SAMPLE_SHARE) + sample.mul_f64(SAMPLE_SHARE);
+                *smoothed = smoothed.mul_f64(1.0 - SAMPLE_WEIGHT) + sample.mul_f64(SAMPLE_WEIGHT);
             }
             None => {
                 halls.insert(hall.to_owned(), sample);
@@ -34,9 +34,9 @@
         }
     }
 
-    /// Returns the time after which a question is given up, where the box itself has `time` to answer.
+    /// Returns the timeout of a query, where the box itself has `time` to reply.
     pub fn timeout(&self, hall: &str, time: Duration) -> Duration {
-        let known = self.0.borrow().get(hall).copied();
-        time + known.unwrap_or(UNKNOWN).min(MAX_ROUND_TRIP)
+        let smoothed = self.0.borrow().get(hall).copied();
+        time + smoothed.unwrap_or(DEFAULT_ROUND_TRIP).min(MAX_ROUND_TRIP)
     }
 }
