--- a/crates/jb-relay/src/peers/broadcast.rs
+++ b/crates/jb-relay/src/peers/broadcast.rs
@@ -1,9 +1,9 @@
-//! Messages to all boxes.
+//! Broadcasts messages to all boxes.
 //!
-//! In a small fleet the sender sends each box a datagram. In a large one it sends one to the relay node of its data
-//! hall. That one hands it to those of the other halls, and each has some boxes of its hall hand it on to the others:
-//! no box sends more datagrams than about the square root of its hall. Boxes that no relay node is known to reach
-//! receive it directly.
+//! In a small fleet the sender sends a datagram to each box. In a large one it sends one to the relay node of its data
+//! hall, which forwards it to the relay nodes of the other halls. In each hall some boxes forward the message to the
+//! others, so that no box sends more datagrams than about the square root of the number of boxes in its hall. Boxes that
+//! no relay node is known to reach receive the message directly.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -18,9 +18,9 @@
 use super::socket::{encode, send_bytes};
 use crate::core::Core;
 
-/// Age of a status up to which its box is to hand messages on.
+/// Age of a status up to which its box is used as a forwarder.
 const MAX_FORWARDER_AGE: Duration = Duration::from_millis(700);
-/// The same for the relay node of the own data hall: two intervals of its statuses and some.
+/// The same for the relay node of the own data hall: a little over two intervals of its statuses.
 const MAX_RELAY_NODE_AGE: Duration = Duration::from_millis(450);
 
 /// Sends a message to all other boxes.
@@ -30,7 +30,7 @@
     };
     let relay_node = relay_node(core);
     if relay_node.as_ref() == Some(&core.settings.id) {
-        spread_over_halls(core, socket, None, &bytes).await;
+        forward_to_halls(core, socket, None, &bytes).await;
         return;
     }
     let address = relay_node.and_then(|id| core.book.borrow().address(&id));
@@ -49,7 +49,7 @@
     others.map(|(_, peer)| peer.address).collect()
 }
 
-/// The relay node of the own data hall, if it is known to live; `None` in a small fleet.
+/// Returns the relay node of the own data hall if it has been heard from recently; `None` in a small fleet.
 fn relay_node(core: &Core) -> Option<id::Box> {
     let book = core.book.borrow();
     let now = core.now();
@@ -58,7 +58,7 @@
     relay_node.filter(|_| is_alive && !book.is_small()).cloned()
 }
 
-/// Hands a message on to the boxes that it is for; returns what it says to this one.
+/// Forwards a message to its recipients; returns the encoded message for this box, or `None` if the sender isn't listed.
 pub(super) async fn forward(
     core: &Core,
     socket: &UdpSocket,
@@ -70,15 +70,15 @@
     }
     let message = forward.message;
     match &forward.to {
-        Recipients::Fleet => spread_over_halls(core, socket, Some(from), &message).await,
-        Recipients::Hall => spread(core, socket, Some(from), &message).await,
+        Recipients::Fleet => forward_to_halls(core, socket, Some(from), &message).await,
+        Recipients::Hall => forward_in_hall(core, socket, Some(from), &message).await,
         Recipients::Boxes(names) => send_to_each(core, socket, names, &message).await,
     }
     Some(message)
 }
 
-/// Sends a message to the other boxes of all data halls but its sender.
-async fn spread_over_halls(core: &Core, socket: &UdpSocket, sender: Option<SocketAddr>, bytes: &[u8]) {
+/// Sends a message to the boxes of all data halls except its sender.
+async fn forward_to_halls(core: &Core, socket: &UdpSocket, sender: Option<SocketAddr>, bytes: &[u8]) {
     let halls = core
         .book
         .borrow()
@@ -93,34 +93,36 @@
             send_to_all(core, socket, &addresses, bytes).await;
         }
     }
-    spread(core, socket, sender, bytes).await;
+    forward_in_hall(core, socket, sender, bytes).await;
 }
 
-/// Sends a message to the other boxes of the own data hall but its sender, through some of them.
-async fn spread(core: &Core, socket: &UdpSocket, sender: Option<SocketAddr>, bytes: &[u8]) {
-    let (heads, rest) = recipients(core, sender);
-    if heads.is_empty() {
+/// Sends a message to the other boxes of the own data hall except its sender, through some forwarders among them.
+async fn forward_in_hall(core: &Core, socket: &UdpSocket, sender: Option<SocketAddr>, bytes: &[u8]) {
+    let (forwarders, rest) = recipients(core, sender);
+    if forwarders.is_empty() {
         send_to_each(core, socket, &rest, bytes).await;
     }
-    for (head, names) in dissemination::split(&heads, &rest) {
-        let is_sent = send_forward(core, socket, head, Recipients::Boxes(names.clone()), bytes).await;
+    for (forwarder, names) in dissemination::split(&forwarders, &rest) {
+        let is_sent = send_forward(core, socket, forwarder, Recipients::Boxes(names.clone()), bytes).await;
         if !is_sent {
             send_to_each(core, socket, &names, bytes).await;
         }
     }
 }
 
-/// Addresses of the boxes that hand a message on in the own data hall, and short names of the others.
+/// Returns the addresses of the forwarders of the own data hall, and the short names of the other boxes.
 fn recipients(core: &Core, sender: Option<SocketAddr>) -> (Vec<SocketAddr>, Vec<u32>) {
     let since = core.now().saturating_sub(MAX_FORWARDER_AGE);
     let alive: HashSet<id::Box> = core.loads.borrow().members(since).into_iter().collect();
     let book = core.book.borrow();
     let others = book.others(&core.settings.id);
     let others = others.filter(|(_, peer)| peer.hall == core.settings.hall && Some(peer.address) != sender);
-    let (mut heads, mut rest): (Vec<_>, Vec<_>) = others.partition(|(id, _)| alive.contains(*id));
-    rest.extend(heads.split_off(dissemination::group_count(heads.len() + rest.len()).min(heads.len())));
+    let (mut forwarders, mut rest): (Vec<_>, Vec<_>) = others.partition(|(id, _)| alive.contains(*id));
+    rest.extend(
+        forwarders.split_off(dissemination::group_count(forwarders.len() + rest.len()).min(forwarders.len())),
+    );
     (
-        heads.iter().map(|(_, peer)| peer.address).collect(),
+        forwarders.iter().map(|(_, peer)| peer.address).collect(),
         rest.iter()
             .map(|(_, peer)| rendezvous::short_hash(peer.name))
             .collect(),
@@ -138,8 +140,8 @@
     }
 }
 
-/// Has a box hand a message on; returns whether it is to, or has only received the message itself, as it doesn't fit
-/// into a packet with its recipients.
+/// Sends a message to a forwarder with its recipients. Returns false if that doesn't fit into a packet: the box then
+/// only receives the message itself.
 async fn send_forward(
     core: &Core,
     socket: &UdpSocket,
--- a/crates/jb-relay/src/peers/directory.rs
+++ b/crates/jb-relay/src/peers/directory.rs
@@ -1,9 +1,9 @@
-//! The boxes that may be alive, and the relay node of each data hall.
+//! Directory of the boxes that may be alive, with the relay node of each data hall.
 //!
-//! The relay node reads the store for its hall and adds up loads in a large fleet.
-//! It is only a choice that each box makes by itself: the first box, in an order that all
-//! agree on, that has not been silent lately. Boxes with wide links come first, as a relay node sends
-//! for all boxes of its hall. Two relay nodes cost a few calls more.
+//! The relay node reads the store for its hall, and in a large fleet it sums up loads. There is no election: each box
+//! chooses the first box, in an order that all agree on, that has not been silent recently. Boxes with high bandwidth
+//! come first, because a relay node sends data to all boxes of its hall. Two relay nodes at once only cost a few more
+//! calls.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::net::{IpAddr, SocketAddr};
@@ -13,133 +13,133 @@
 use jb_policy::{Moment, rendezvous};
 use jb_protocol::id;
 
-/// Boxes up to which each sends its status to all others.
-pub(super) const SMALL: usize = 16;
-/// Time for which a box that gave no answer is passed over.
-const PASSED_OVER: Duration = Duration::from_secs(8);
+/// Largest number of boxes with which each of them sends its status to all others.
+pub(super) const MAX_SMALL_FLEET: usize = 16;
+/// Time for which a box that did not reply is not used.
+const SILENCE_PERIOD: Duration = Duration::from_secs(8);
 
 /// Time after its last status for which a box counts as the acting relay node of another data hall.
 const ACTING_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Another box, or this one.
+/// A listed box, which may be this one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Address of its datagrams.
+    /// Address for datagrams and transfers.
     pub address: SocketAddr,
-    /// Data hall.
+    /// Data hall of the box.
     pub hall: id::Hall,
     /// Hash of its id.
     pub name: u64,
-    /// Bandwidth of its link, in Mbit/s; 0 where it isn't known.
+    /// Bandwidth of its link, in Mbit/s; 0 if unknown.
     pub link: u32,
 }
 
-/// Place of a box among those that may take a duty, the highest first. Links that differ by less than a factor of
-/// two count as equal.
+/// Rank of a box among the candidates for a role; the highest is preferred. Bandwidths are
+/// compared by their binary logarithm, rounded down, so that similar links count as equal.
 type Rank = (Option<u32>, u64);
 
-fn rank(duty: u64, peer: &Peer) -> Rank {
-    (peer.link.checked_ilog2(), rendezvous::weight(duty, peer.name))
+fn rank(role: u64, peer: &Peer) -> Rank {
+    (peer.link.checked_ilog2(), rendezvous::weight(role, peer.name))
 }
 
-/// All boxes that have given their address.
+/// All boxes that have registered their address.
 #[derive(Debug, Default)]
 pub struct Directory {
     peers: BTreeMap<id::Box, Peer>,
     addresses: HashSet<SocketAddr>,
-    /// Addresses by the lower halves of the hashes of ids.
+    /// Addresses by short names, the lower halves of the hashes of ids.
     by_short_name: HashMap<u32, SocketAddr>,
     hosts: HashSet<IpAddr>,
     /// Boxes of each data hall, in the order in which they become its relay node.
     halls: BTreeMap<id::Hall, Vec<id::Box>>,
     silent: BTreeMap<id::Box, Moment>,
-    /// Boxes that have shown themselves as relay nodes of other data halls, and when.
+    /// Boxes that have acted as relay nodes of other data halls, with the time of their last status.
     relay_nodes: BTreeMap<id::Hall, (id::Box, Moment)>,
-    /// Boxes that have not answered the last question for an account.
-    unsure: BTreeSet<id::Box>,
+    /// Boxes that have not replied to the last query.
+    unanswered: BTreeSet<id::Box>,
 }
 
 impl Directory {
-    /// Takes the addresses as they stand in the store.
+    /// Replaces the list of boxes by that of the store.
     pub fn replace(&mut self, peers: BTreeMap<id::Box, Peer>) {
         self.silent.retain(|id, _| peers.contains_key(id));
         self.addresses = peers.values().map(|peer| peer.address).collect();
         let by_short_name = |peer: &Peer| (rendezvous::short_hash(peer.name), peer.address);
         self.by_short_name = peers.values().map(by_short_name).collect();
         self.hosts = self.addresses.iter().map(SocketAddr::ip).collect();
-        self.halls = order(&peers);
+        self.halls = preference_order(&peers);
         self.peers = peers;
     }
 
-    /// Boxes that may be alive, this one with them.
+    /// Returns the number of listed boxes, at least 1.
     pub fn boxes(&self) -> usize {
         self.peers.len().max(1)
     }
 
-    /// Boxes of a data hall that may be alive.
+    /// Returns the number of listed boxes of a data hall, or 1 for an unknown hall.
     pub fn boxes_in(&self, hall: &str) -> usize {
         self.halls.get(hall).map_or(1, Vec::len)
     }
 
-    /// Returns whether each box sends its status to all others.
+    /// Returns whether the fleet is so small that each box sends its status to all others.
     pub fn is_small(&self) -> bool {
-        self.boxes() <= SMALL
+        self.boxes() <= MAX_SMALL_FLEET
     }
 
-    /// All boxes but one.
+    /// Returns all boxes except `own`.
     pub fn others<'a>(&'a self, own: &'a str) -> impl Iterator<Item = (&'a id::Box, &'a Peer)> {
         self.peers.iter().filter(move |(id, _)| id.as_str() != own)
     }
 
-    /// Data hall of a box.
+    /// Returns the data hall of a box.
     pub fn hall(&self, id: &str) -> Option<&id::Hall> {
         self.peers.get(id).map(|peer| &peer.hall)
     }
 
-    /// Address of a box.
+    /// Returns the address of a box.
     pub fn address(&self, id: &str) -> Option<SocketAddr> {
         self.peers.get(id).map(|peer| peer.address)
     }
 
-    /// Addresses of boxes by the lower halves of the hashes of their ids.
+    /// Returns the addresses of the boxes with these short names.
     pub fn addresses_of(&self, names: &[u32]) -> Vec<SocketAddr> {
         let known = names.iter().filter_map(|name| self.by_short_name.get(name));
         known.copied().collect()
     }
 
-    /// Notes that a box gave no answer.
+    /// Notes that a box did not reply; it is not used for a while.
     pub fn mark_silent(&mut self, id: &str, now: Moment) {
-        self.silent.insert(id.to_owned(), now + PASSED_OVER);
+        self.silent.insert(id.to_owned(), now + SILENCE_PERIOD);
     }
 
-    /// Notes that a box gave no answer as the keeper of an account; the second time in a row it
-    /// is passed over, as one datagram may be lost.
+    /// Notes that a box did not reply to a query. Only after the second time in a row it is marked as silent, because a
+    /// single datagram may be lost.
     pub fn note_unanswered(&mut self, id: &str, now: Moment) {
-        if !self.unsure.insert(id.to_owned()) {
-            self.unsure.remove(id);
+        if !self.unanswered.insert(id.to_owned()) {
+            self.unanswered.remove(id);
             self.mark_silent(id, now);
         }
     }
 
-    /// Whether an address is that of a box.
+    /// Returns whether an address is that of a listed box.
     pub fn contains_address(&self, address: SocketAddr) -> bool {
         self.addresses.contains(&address)
     }
 
-    /// Whether a host is that of a box.
+    /// Returns whether a host is that of a listed box.
     pub fn contains_host(&self, host: IpAddr) -> bool {
         self.hosts.contains(&host)
     }
 
-    /// The boxes of a data hall that are preferred to one as the source of everything that the store holds: its
-    /// ancestors in a tree of bounded fan-out, the nearest first.
+    /// Returns the boxes of a data hall from which one fetches a snapshot of the store: its ancestors in a tree of
+    /// bounded fan-out, the nearest first.
     pub fn ancestors(&self, own: &str, hall: &str) -> Vec<SocketAddr> {
         let in_order = self.in_order(hall);
         let ancestors = dissemination::ancestors(position(in_order, own));
         ancestors.filter_map(|at| self.address(&in_order[at])).collect()
     }
 
-    /// Level of a box in that tree.
+    /// Returns the level of a box in the tree of its data hall.
     pub fn level(&self, own: &str, hall: &str) -> Level {
         Level::at(position(self.in_order(hall), own))
     }
@@ -148,50 +148,50 @@
         self.halls.get(hall).map(Vec::as_slice).unwrap_or_default()
     }
 
-    /// The box that keeps the account of an engine, with its address.
+    /// Returns the box that owns the state of an engine, preferably one of the engine's data hall.
     pub fn owner(&self, engine: u64, hall: &str, now: Moment) -> Option<(id::Box, SocketAddr)> {
         let rank = |peer: &Peer| (peer.hall == hall, rendezvous::weight(engine, peer.name));
-        self.first(now, |_, peer| Some(rank(peer)))
+        self.highest(now, |_, peer| Some(rank(peer)))
     }
 
-    /// The box of all data halls that owns what belongs to the whole fleet, such as a customer's limit.
+    /// Returns the box of any data hall that owns state of the whole fleet, such as a customer's quota.
     pub fn fleet_owner(&self, key: u64, now: Moment) -> Option<(id::Box, SocketAddr)> {
-        self.first(now, |_, peer| Some(rendezvous::weight(key, peer.name)))
+        self.highest(now, |_, peer| Some(rendezvous::weight(key, peer.name)))
     }
 
-    /// The box of a data hall that keeps it where that one gives no answer.
+    /// Returns the box of a data hall that owns such state while the owner `silent` does not reply.
     pub fn fallback_owner(
         &self,
-        customer: u64,
+        key: u64,
         hall: &str,
         silent: &str,
         now: Moment,
     ) -> Option<(id::Box, SocketAddr)> {
-        self.first(now, |id, peer| {
-            let fits = peer.hall == hall && id != silent;
-            fits.then(|| rendezvous::weight(customer, peer.name))
+        self.highest(now, |id, peer| {
+            let is_candidate = peer.hall == hall && id != silent;
+            is_candidate.then(|| rendezvous::weight(key, peer.name))
         })
     }
 
-    /// The box of the highest rank among the reachable ones.
-    fn first<R: Ord>(
+    /// Returns the box of the highest rank among those that aren't silent.
+    fn highest<R: Ord>(
         &self,
         now: Moment,
         rank: impl Fn(&str, &Peer) -> Option<R>,
     ) -> Option<(id::Box, SocketAddr)> {
         let reachable = self.peers.iter().filter(|(id, _)| !self.is_silent(id, now));
         let ranked = reachable.filter_map(|(id, peer)| Some((rank(id, peer)?, id, peer)));
-        let first = ranked.max_by(|(a, ..), (b, ..)| a.cmp(b));
-        first.map(|(_, id, peer)| (id.clone(), peer.address))
+        let highest = ranked.max_by(|(a, ..), (b, ..)| a.cmp(b));
+        highest.map(|(_, id, peer)| (id.clone(), peer.address))
     }
 
-    /// Notes that a message of a box has arrived.
+    /// Notes that a message from a box has arrived.
     pub fn mark_alive(&mut self, id: &str) {
-        self.unsure.remove(id);
+        self.unanswered.remove(id);
         self.silent.remove(id);
     }
 
-    /// The relay node of a data hall.
+    /// Returns the relay node of a data hall: the most preferred box that isn't silent.
     pub fn relay_node(&self, hall: &str, now: Moment) -> Option<&id::Box> {
         let mut in_order = self.halls.get(hall)?.iter();
         in_order.find(|id| !self.is_silent(id, now))
@@ -204,7 +204,8 @@
         }
     }
 
-    /// The boxes that act as relay nodes of the other data halls; none for a hall whose relay node has been silent.
+    /// Returns the addresses of the acting relay nodes of the other data halls; `None` for a hall whose relay node has
+    /// been silent.
     pub fn acting_relay_nodes(&self, hall: &str, now: Moment) -> Vec<(id::Hall, Option<SocketAddr>)> {
         let others = self.halls.keys().filter(|other| *other != hall);
         let address = |hall: &str| self.address(self.acting_relay_node(hall, now)?);
@@ -216,13 +217,13 @@
         (now < *at + ACTING_TIMEOUT && self.peers.contains_key(id)).then_some(id)
     }
 
-    /// Addresses of the boxes of a data hall.
+    /// Returns the addresses of the boxes of a data hall.
     pub fn addresses_in(&self, hall: &str) -> Vec<SocketAddr> {
         let ids = self.in_order(hall).iter();
         ids.filter_map(|id| self.address(id)).collect()
     }
 
-    /// The relay nodes of the other data halls, the acting ones where they are known.
+    /// Returns the relay nodes of the other data halls: the acting ones, or the most preferred boxes if these are unknown.
     pub fn other_relay_nodes(&self, hall: &str, now: Moment) -> Vec<id::Box> {
         let others = self.halls.keys().filter(|other| *other != hall);
         let relay_node = |hall: &str| {
@@ -232,13 +233,13 @@
         others.filter_map(|other| relay_node(other)).collect()
     }
 
-    /// Boxes that are preferred to one for a duty of the whole fleet.
-    pub fn preferred_count(&self, own: &str, duty: &str, now: Moment) -> usize {
-        let duty = rendezvous::name_hash(duty);
-        let Some(mine) = self.peers.get(own).map(|peer| rank(duty, peer)) else {
+    /// Returns the number of boxes that are preferred to `own` for a role in the whole fleet, without silent ones.
+    pub fn preferred_count(&self, own: &str, role: &str, now: Moment) -> usize {
+        let role = rendezvous::name_hash(role);
+        let Some(mine) = self.peers.get(own).map(|peer| rank(role, peer)) else {
             return self.peers.len();
         };
-        let preferred = self.others(own).filter(|(_, peer)| rank(duty, peer) > mine);
+        let preferred = self.others(own).filter(|(_, peer)| rank(role, peer) > mine);
         preferred.filter(|(id, _)| !self.is_silent(id, now)).count()
     }
 
@@ -247,13 +248,13 @@
     }
 }
 
-/// Position of a box in the order of its hall; one that isn't listed yet is the last.
+/// Returns the position of a box in the order of its hall; a box that isn't listed yet is the last.
 fn position(in_order: &[id::Box], id: &str) -> usize {
     let position = in_order.iter().position(|other| other == id);
     position.unwrap_or(in_order.len())
 }
 
-fn order(peers: &BTreeMap<id::Box, Peer>) -> BTreeMap<id::Hall, Vec<id::Box>> {
+fn preference_order(peers: &BTreeMap<id::Box, Peer>) -> BTreeMap<id::Hall, Vec<id::Box>> {
     let mut halls: BTreeMap<&id::Hall, Vec<(Rank, &id::Box)>> = BTreeMap::new();
     for (id, peer) in peers {
         let rank = rank(rendezvous::name_hash(&peer.hall), peer);
--- a/crates/jb-relay/src/peers/outbox.rs
+++ b/crates/jb-relay/src/peers/outbox.rs
@@ -1,4 +1,4 @@
-//! What is broadcast at once, without waiting for the next status.
+//! Announcements that are broadcast without waiting for the next status.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,48 +18,48 @@
 use crate::saturating_cast::saturating_cast;
 use crate::upstream::Upstream;
 
-/// Tokens from which on a prompt is broadcast at once in a small fleet, so that not all boxes send to an
-/// engine that has just become idle.
-const LONG_PROMPT: u64 = 1500;
+/// Length from which on a prompt is announced immediately in a small fleet, in tokens to prefill, so that not all boxes
+/// send to an engine that has just become idle.
+const MIN_LONG_PROMPT_TOKENS: u64 = 1500;
 
-/// Short names of instances in one datagram; each takes at most 5 bytes.
+/// Maximum number of short names in one datagram; each takes at most 5 bytes.
 const MAX_NAMES: usize = 256;
 
-/// What is to be broadcast.
+/// Announcements that wait for the next broadcast.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    /// Upstream of each long prompt with the tokens that it has to read.
-    sent: Vec<(u32, u32)>,
-    /// Upstreams whose addresses others have now.
+    /// For each long prompt, the short name of the upstream and the tokens to prefill.
+    prompts: Vec<(u32, u32)>,
+    /// Incarnations of upstreams whose addresses are now used by others.
     replaced: Vec<u32>,
-    /// Upstreams that have signalled that they drain.
+    /// Upstreams that have signalled that they are draining.
     draining: Vec<u32>,
-    /// Upstreams that have become limited or unlimited.
+    /// Upstreams whose rate limits have begun or ended.
     limits: Vec<u32>,
     /// Wakes the task that broadcasts long prompts.
     wake: Rc<Notify>,
 }
 
 impl Outbox {
-    /// Drops the long prompts: the next status includes them.
-    pub(super) fn forget_sent(&mut self) {
-        self.sent.clear();
+    /// Drops the long prompts, because the next status includes them.
+    pub(super) fn clear_prompts(&mut self) {
+        self.prompts.clear();
     }
 }
 
-/// Notes a prompt that has been sent, for the other boxes of a small fleet.
+/// Announces a long prompt that has been sent to the other boxes of a small fleet.
 pub fn announce_prompt(core: &Core, upstream: &Upstream, tokens: u64) {
-    if tokens < LONG_PROMPT || !core.book.borrow().is_small() {
+    if tokens < MIN_LONG_PROMPT_TOKENS || !core.book.borrow().is_small() {
         return;
     }
-    let mut notices = core.notices.borrow_mut();
-    notices
-        .sent
+    let mut outbox = core.notices.borrow_mut();
+    outbox
+        .prompts
         .push((rendezvous::short_hash(upstream.name), saturating_cast(tokens)));
-    notices.wake.notify_one();
+    outbox.wake.notify_one();
 }
 
-/// Broadcasts long prompts for a while.
+/// Broadcasts long prompts as they are announced, for `time`.
 pub(super) async fn broadcast_prompts(core: &Core, socket: &UdpSocket, time: Duration) {
     let wake = Rc::clone(&core.notices.borrow().wake);
     let due = core.now() + time;
@@ -67,7 +67,7 @@
         .await
         .is_ok()
     {
-        let prompts = std::mem::take(&mut core.notices.borrow_mut().sent);
+        let prompts = std::mem::take(&mut core.notices.borrow_mut().prompts);
         if prompts.is_empty() {
             continue;
         }
@@ -76,15 +76,15 @@
     }
 }
 
-/// Receives long prompts that another box has sent; they count until its next status.
-pub(super) fn take_sent(core: &Core, sent: &LongPrompts) {
-    for &(upstream, tokens) in &sent.prompts {
-        add_prompt(core, &sent.from, upstream, u64::from(tokens));
+/// Adds long prompts that another box has sent to its load until its next status.
+pub(super) fn receive_prompts(core: &Core, message: &LongPrompts) {
+    for &(upstream, tokens) in &message.prompts {
+        add_prompt(core, &message.from, upstream, u64::from(tokens));
     }
 }
 
-/// Notes that another incarnation answers at an upstream's address, for the other boxes: each
-/// would find out by a request that is turned away, and these spend the retry budget.
+/// Announces that another incarnation answers at an upstream's address. Each other box would otherwise find out by a
+/// rejected request, and these spend the retry budget.
 pub fn announce_replaced(core: &Core, upstream: &Upstream) {
     core.notices
         .borrow_mut()
@@ -92,7 +92,7 @@
         .push(rendezvous::short_hash(upstream.name));
 }
 
-/// Notes that an upstream has signalled that it drains, for the other boxes: while the store is down each would
+/// Announces that an upstream has signalled that it is draining. While the store is down each other box would otherwise
 /// have to receive such a response itself. It is broadcast once.
 pub fn announce_draining(core: &Core, upstream: &Upstream) {
     core.notices
@@ -101,7 +101,7 @@
         .push(rendezvous::short_hash(upstream.name));
 }
 
-/// Notes that an upstream has become limited or unlimited, to announce it to the other boxes.
+/// Announces that the rate limit of an upstream has begun or ended.
 pub fn announce_rate_limit(core: &Core, upstream: &Upstream) {
     core.notices
         .borrow_mut()
@@ -109,14 +109,14 @@
         .push(rendezvous::short_hash(upstream.name));
 }
 
-/// Broadcasts the signals of upstreams.
+/// Broadcasts the announced changes of upstreams.
 pub(super) async fn broadcast_signals(core: &Core, socket: &UdpSocket) {
     let (replaced, draining, limits) = {
-        let mut notices = core.notices.borrow_mut();
+        let mut outbox = core.notices.borrow_mut();
         (
-            std::mem::take(&mut notices.replaced),
-            std::mem::take(&mut notices.draining),
-            std::mem::take(&mut notices.limits),
+            std::mem::take(&mut outbox.replaced),
+            std::mem::take(&mut outbox.draining),
+            std::mem::take(&mut outbox.limits),
         )
     };
     let replaced = replaced.chunks(MAX_NAMES).map(|names| {
@@ -133,12 +133,12 @@
     }
 }
 
-/// Receives replaced upstreams.
+/// Applies replaced incarnations that another box has announced.
 pub(super) fn receive_replaced(core: &Core, replaced: &Replaced) {
     core.upstreams.borrow_mut().note_replaced(&replaced.upstreams);
 }
 
-/// Receives upstreams that drain, as another box reports.
+/// Applies draining upstreams that another box has announced.
 pub(super) fn receive_draining(core: &Core, from: SocketAddr, draining: &Draining) {
     if !reservation::is_known(core, from) {
         return;
--- a/crates/jb-relay/src/peers/register.rs
+++ b/crates/jb-relay/src/peers/register.rs
@@ -1,4 +1,4 @@
-//! Each box keeps its own address in the store, where the others find it.
+//! Registers the address of each box in the store, where the other boxes find it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,29 +10,29 @@
 use tokio::time::sleep;
 
 use super::Peer;
-use super::directory::SMALL;
+use super::directory::MAX_SMALL_FLEET;
 use crate::core::{Core, Shared};
 use crate::port::{Change, Era, Write};
 
-/// Beginning of the keys under which boxes give their addresses.
+/// Prefix of the keys under which boxes register their addresses; the rest is the id of the box.
 pub const ADDRESS_KEY_PREFIX: &str = "junctionbend/box/";
-/// Pause between two looks at the addresses.
-const LOOK: Duration = Duration::from_millis(200);
-/// Time after a write of the own address in which it isn't written again: an update is to show it.
+/// Interval at which the addresses are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Time after a write of the own address in which it isn't written again, because the next update should contain it.
 const REWRITE_INTERVAL: Duration = Duration::from_millis(2200);
 
-/// Writes the own address and data hall into the store, again whenever they are missing there.
+/// Writes the own address and data hall into the store, and again whenever the store lacks them.
 pub async fn register_address(core: Shared) {
     loop {
         refresh_directory(&core);
         if core.age().is_some() {
             write_address(&core, core.era()).await;
         }
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
-/// Writes the own address unless the store is known to have it, or should have it soon.
+/// Writes the own address unless the store is known to have it, or it was written recently.
 pub async fn write_address(core: &Core, era: Era) {
     let Some(port) = core.peer_port.get() else { return };
     let written = core.address_written.get();
@@ -46,8 +46,8 @@
     );
     let key = format!("{ADDRESS_KEY_PREFIX}{}", core.settings.id);
     let known = core.own.borrow().get(&key).cloned();
-    let there = known.filter(|item| item.value.is_some() && item.revision.era == era);
-    let value = there.as_ref().and_then(|item| item.value.as_deref());
+    let registered = known.filter(|item| item.value.is_some() && item.revision.era == era);
+    let value = registered.as_ref().and_then(|item| item.value.as_deref());
     if value == Some(own.as_bytes()) {
         return;
     }
@@ -55,7 +55,7 @@
     let write = Write {
         key,
         value: Bytes::from(own),
-        expected: there.map(|item| item.revision),
+        expected: registered.map(|item| item.revision),
         lease: None,
     };
     core.metrics.store_calls.inc();
@@ -64,40 +64,43 @@
     }
 }
 
-/// Updates the list of boxes from the store, if addresses have changed.
+/// Updates the directory from the store, if addresses have changed.
 pub fn refresh_directory(core: &Core) {
     if core.addresses_changed.take() {
-        core.book.borrow_mut().replace(read(core));
+        core.book.borrow_mut().replace(registered_boxes(core));
     }
 }
 
-/// Does the same right after a read of the store in a small fleet. In a large one that starts together all
-/// boxes would ask their relay node for each other's addresses.
+/// Does the same in a small fleet only, right after a read of the store. In a large fleet that starts together, all boxes
+/// would otherwise ask their relay node for each other's addresses.
 pub fn refresh_small_directory(core: &Core) {
     let is_there = |(_, item): &(&String, &Change)| item.value.is_some();
-    let boxes = items(&core.own.borrow()).filter(is_there).take(SMALL + 1).count();
-    if boxes <= SMALL {
+    let boxes = address_items(&core.own.borrow())
+        .filter(is_there)
+        .take(MAX_SMALL_FLEET + 1)
+        .count();
+    if boxes <= MAX_SMALL_FLEET {
         refresh_directory(core);
     }
 }
 
-fn read(core: &Core) -> BTreeMap<id::Box, Peer> {
+fn registered_boxes(core: &Core) -> BTreeMap<id::Box, Peer> {
     let own = core.own.borrow();
-    let peers = items(&own).filter_map(|(key, item)| {
+    let peers = address_items(&own).filter_map(|(key, item)| {
         let value = std::str::from_utf8(item.value.as_deref()?).ok()?;
         let id = &key[ADDRESS_KEY_PREFIX.len()..];
-        Some((id.to_owned(), peer(id, value)?))
+        Some((id.to_owned(), parse_peer(id, value)?))
     });
     peers.collect()
 }
 
-fn items(own: &BTreeMap<String, Change>) -> impl Iterator<Item = (&String, &Change)> {
+fn address_items(own: &BTreeMap<String, Change>) -> impl Iterator<Item = (&String, &Change)> {
     own.range(ADDRESS_KEY_PREFIX.to_owned()..)
         .take_while(|(key, _)| key.starts_with(ADDRESS_KEY_PREFIX))
 }
 
-/// Decodes an address, a data hall and the bandwidth of the link; a box of an earlier version doesn't give that.
-fn peer(id: &str, value: &str) -> Option<Peer> {
+/// Decodes an address, a data hall and the bandwidth of the link, which boxes of an earlier version don't register.
+fn parse_peer(id: &str, value: &str) -> Option<Peer> {
     let mut fields = value.split(' ');
     let (address, hall) = (fields.next()?, fields.next()?);
     Some(Peer {
--- a/crates/jb-relay/src/peers/releases.rs
+++ b/crates/jb-relay/src/peers/releases.rs
@@ -1,7 +1,7 @@
-//! Learns from other boxes when weights were released before this box started.
+//! Asks other boxes when weights were released before this box started.
 //!
-//! The store shows which version is the newest, not since when. A box that starts within a roll-out
-//! would otherwise have to guess how long the older weights may still serve.
+//! The store shows which version is the newest, but not since when. A box that starts during a rollout would otherwise
+//! have to guess how long the older weights may still serve.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,32 +15,32 @@
 use super::socket::send;
 use crate::core::{Core, Shared};
 
-/// Interval at which missing releases are looked for.
-const LOOK: Duration = Duration::from_millis(20);
-/// Time in which a query is answered.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
-/// Queries at the most; after a restart of the whole fleet nobody knows.
+/// Interval at which the box checks for missing release times.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time that the other boxes have to reply to a query.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(250);
+/// Maximum number of queries: after a restart of the whole fleet no box knows the release times.
 const MAX_QUERIES: u32 = 8;
-/// Boxes that receive one query, the next ones each time.
+/// Number of boxes that receive one query; each query goes to the next ones.
 const BOXES_PER_QUERY: usize = 4;
-/// Versions of one model in an answer, the newest first.
+/// Maximum number of versions of one model in a reply, the newest first.
 const MAX_VERSIONS: usize = 6;
-/// Versions of all models in an answer, which fits into a packet.
+/// Maximum number of versions of all models in a reply, which must fit into a packet.
 const MAX_RELEASES: usize = 24;
 
-/// Asks other boxes until the release of each newest version is known, or nobody knows it.
+/// Queries other boxes until the release time of each newest version is known, or the queries are used up.
 pub async fn discover(core: Shared, socket: Rc<UdpSocket>) {
-    let mut asked = 0;
-    while asked < MAX_QUERIES {
-        sleep(LOOK).await;
+    let mut queries = 0;
+    while queries < MAX_QUERIES {
+        sleep(CHECK_INTERVAL).await;
         if core.age().is_some() && !is_missing(&core) {
             return;
         }
-        let others = others(&core, asked);
+        let others = others(&core, queries);
         if others.is_empty() || !is_missing(&core) {
             continue;
         }
-        asked += 1;
+        queries += 1;
         let asked_ms = u64::try_from(core.now().as_millis()).unwrap_or_default();
         for address in others {
             send(
@@ -51,7 +51,7 @@
             )
             .await;
         }
-        sleep(ANSWER_TIMEOUT).await;
+        sleep(REPLY_TIMEOUT).await;
     }
 }
 
@@ -59,8 +59,8 @@
     core.weights.borrow().values().any(History::is_unknown)
 }
 
-/// Some of the other boxes, different ones for each query.
-fn others(core: &Core, asked: u32) -> Vec<SocketAddr> {
+/// Returns some of the other boxes, different ones for each query.
+fn others(core: &Core, queries: u32) -> Vec<SocketAddr> {
     let book = core.book.borrow();
     let own = &core.settings.id;
     let all: Vec<SocketAddr> = book.others(own).map(|(_, peer)| peer.address).collect();
@@ -68,13 +68,13 @@
         .others(own)
         .filter(|(id, _)| id.as_str() < own.as_str())
         .count();
-    let from = before + asked as usize * BOXES_PER_QUERY;
+    let from = before + queries as usize * BOXES_PER_QUERY;
     let some = (0..all.len().min(BOXES_PER_QUERY)).map(|at| all[(from + at) % all.len()]);
     some.collect()
 }
 
-/// Answers another box.
-pub(super) async fn answer(core: &Core, socket: &UdpSocket, from: SocketAddr, asked: QueryReleases) {
+/// Replies to another box; sends nothing if no release time is known.
+pub(super) async fn reply(core: &Core, socket: &UdpSocket, from: SocketAddr, query: QueryReleases) {
     let now = core.now();
     let mut releases = Vec::new();
     for (model, history) in core.weights.borrow().iter() {
@@ -92,18 +92,18 @@
     if releases.is_empty() {
         return;
     }
-    let answer = Releases {
-        asked_ms: asked.asked_ms,
+    let reply = Releases {
+        asked_ms: query.asked_ms,
         releases,
     };
-    send(core, socket, from, &Message::Releases(answer)).await;
+    send(core, socket, from, &Message::Releases(reply)).await;
 }
 
-/// Receives an answer. Ages count from the query, so a late datagram only makes them older.
-pub(super) fn receive(core: &Core, answer: Releases) {
-    let asked = Duration::from_millis(answer.asked_ms).min(core.now());
+/// Applies a reply. Ages count from the time of the query, so a late datagram only makes them older.
+pub(super) fn receive(core: &Core, reply: Releases) {
+    let asked = Duration::from_millis(reply.asked_ms).min(core.now());
     let mut weights = core.weights.borrow_mut();
-    for release in answer.releases {
+    for release in reply.releases {
         if let Some(history) = weights.get_mut(&release.model) {
             history.merge(release.version, asked, Duration::from_millis(release.age_ms));
         }
--- a/crates/jb-relay/src/peers/status.rs
+++ b/crates/jb-relay/src/peers/status.rs
@@ -90,7 +90,7 @@
 /// Sends the status to all other boxes; returns whether it is empty, as the `quiet` ones before.
 async fn broadcast_status(core: &Core, socket: &UdpSocket, quiet: u32) -> bool {
     let uses = std::mem::take(&mut core.loads.borrow_mut().own);
-    core.notices.borrow_mut().forget_sent();
+    core.notices.borrow_mut().clear_prompts();
     let status = Status {
         loads: own_loads(core),
         uses,
