--- a/crates/jb-relay/src/peers/mod.rs
+++ b/crates/jb-relay/src/peers/mod.rs
@@ -1,6 +1,6 @@
-//! Messages between boxes, in datagrams that may be lost without harm: status, loading of weights, rate
-//! limits, evidence on poison requests, and changes of the store. What is too long for datagrams is transferred over
-//! connections.
+//! Communication between boxes: status, reservations, quotas, rate limits, loaded weights, evidence on poison requests,
+//! and changes of the store. Messages are datagrams whose loss does no harm; data that is too long for datagrams is
+//! transferred over connections.
 
 mod broadcast;
 mod change_log;
--- a/crates/jb-relay/src/peers/quarantine_record.rs
+++ b/crates/jb-relay/src/peers/quarantine_record.rs
@@ -1,8 +1,8 @@
-//! Quarantine records in the store, for boxes that start when no other box is left: without them each
-//! restart of the whole fleet would cost three engines more.
+//! Quarantine records in the store, for boxes that start when no other box is running: without them each restart of the
+//! whole fleet would crash three more engines.
 //!
-//! A record has a lease as long as the quarantine. It is written once, by the box that observed the last
-//! crash. After a restore of the store from a copy that lacks it, its owner writes it again.
+//! A record has a lease as long as the quarantine. It is written once, by the box that observed the last crash. If the
+//! store is restored from a backup that lacks the record, the record's owner writes it again.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,27 +19,27 @@
 use crate::core::{Core, Shared};
 use crate::port::{Change, StoreError, Write};
 
-/// Start of the records' keys; the rest is the request's hash.
-const KEYS: &str = "junctionbend/poison/";
-/// Attempts to write a record.
-const TRIES: u32 = 5;
-/// Pause between two of them.
-const AGAIN: Duration = Duration::from_secs(2);
+/// Prefix of the records' keys; the rest is the hash of the request.
+const KEY_PREFIX: &str = "junctionbend/poison/";
+/// Number of attempts to write a record.
+const MAX_ATTEMPTS: u32 = 5;
+/// Pause between two attempts.
+const RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
 fn key(content: Fingerprint) -> String {
-    format!("{KEYS}{content}")
+    format!("{KEY_PREFIX}{content}")
 }
 
-/// Whether a request is quarantined and the store has no record of it.
+/// Returns whether a request is quarantined and the store has no record of it.
 pub(super) fn is_due(core: &Core, content: Fingerprint) -> bool {
     let quarantined = core.quarantine.ledger().verdict(content, core.now()) == Verdict::Quarantined;
     let own = core.own.borrow();
-    let is_there = own.get(&key(content)).is_some_and(|item| item.value.is_some());
-    quarantined && !is_there
+    let is_recorded = own.get(&key(content)).is_some_and(|item| item.value.is_some());
+    quarantined && !is_recorded
 }
 
-/// Writes the records again that a restored store lacks and this box owns.
-pub(super) fn write_lost(core: &Shared) {
+/// Writes the records that a restored store lacks and this box owns.
+pub(super) fn rewrite_lost(core: &Shared) {
     let known = core.quarantine.ledger().suspects(core.now());
     let lost = known
         .iter()
@@ -50,16 +50,16 @@
     }
 }
 
-/// Whether this box is the one of the fleet that owns a record.
+/// Returns whether this box owns a record.
 fn owns(core: &Core, content: Fingerprint) -> bool {
     let key = rendezvous::name_hash(&key(content));
     let owner = core.book.borrow().fleet_owner(key, core.now());
     owner.is_none_or(|(id, _)| id == core.settings.id)
 }
 
-/// Writes the mark of a request.
+/// Writes the record of a request, unless the store already has it.
 pub(super) async fn write(core: Shared, content: Fingerprint) {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         if !is_due(&core, content) {
             return;
         }
@@ -69,7 +69,7 @@
                 emit!(core.logger, info, event::QUARANTINE_RECORD_UNWRITTEN, "content" => %content, "why" => %why)
             }
         }
-        sleep(AGAIN).await;
+        sleep(RETRY_INTERVAL).await;
     }
 }
 
@@ -77,9 +77,9 @@
     let Some(row) = core.quarantine.ledger().row(content) else {
         return Ok(());
     };
-    let received = suspicion::suspect(core, &row, None);
-    let Ok(value) = serde_json::to_vec(&received) else {
-        // Numbers and lists of numbers always have a form as text.
+    let suspect = suspicion::suspect(core, &row, None);
+    let Ok(value) = serde_json::to_vec(&suspect) else {
+        // Numbers and lists of numbers can always be serialised.
         return Ok(());
     };
     core.metrics.store_calls.inc_by(2);
@@ -93,13 +93,13 @@
     core.store.write(lease.era, &[write]).await.map(drop)
 }
 
-/// Takes an item of the store, if it is a mark.
+/// Applies an item of the store if it is a quarantine record.
 pub fn apply_record(core: &Core, item: &Change) {
-    let Some(value) = item.value.as_deref().filter(|_| item.key.starts_with(KEYS)) else {
+    let Some(value) = item.value.as_deref().filter(|_| item.key.starts_with(KEY_PREFIX)) else {
         return;
     };
     match serde_json::from_slice::<Suspect>(value) {
-        Ok(received) => suspicion::receive_suspect(core, &received),
+        Ok(suspect) => suspicion::receive_suspect(core, &suspect),
         Err(why) => {
             emit!(core.logger, warn, event::STORE_UNREADABLE, "key" => &item.key, "why" => %why);
         }
--- a/crates/jb-relay/src/peers/socket.rs
+++ b/crates/jb-relay/src/peers/socket.rs
@@ -1,4 +1,4 @@
-//! The socket that boxes talk over.
+//! The UDP socket for messages between boxes.
 
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -15,23 +15,23 @@
 use crate::core::{Core, Shared};
 
 /// Pause after an error of the socket.
-const AFTER_ERROR: Duration = Duration::from_millis(100);
+const ERROR_PAUSE: Duration = Duration::from_millis(100);
 
-/// Tries to find a port that is free for both, where the system chooses it.
-const CHOSEN_PORT_TRIES: usize = 16;
+/// Number of attempts to find a port that is free for both protocols, if the system chooses the port.
+const MAX_SYSTEM_PORT_ATTEMPTS: usize = 16;
 
-/// Binds the first port of the range that is free for datagrams and for connections.
+/// Binds the first port of the range that is free for both UDP and TCP.
 ///
 /// # Errors
-/// When no port is free.
+/// The error of the last attempt, if no port is free.
 pub async fn bind(
     ip: IpAddr,
     ports: std::ops::RangeInclusive<u16>,
 ) -> std::io::Result<(UdpSocket, TcpListener)> {
-    let mut last = std::io::Error::other("no port for messages between boxes");
+    let mut last = std::io::Error::other("the port range for messages between boxes is empty");
     for port in ports {
-        let tries = if port == 0 { CHOSEN_PORT_TRIES } else { 1 };
-        for _ in 0..tries {
+        let attempts = if port == 0 { MAX_SYSTEM_PORT_ATTEMPTS } else { 1 };
+        for _ in 0..attempts {
             match bind_both(ip, port).await {
                 Ok(both) => return Ok(both),
                 Err(why) => last = why,
@@ -47,31 +47,31 @@
     Ok((socket, listener))
 }
 
-/// Encodes a message; `None` where it is larger than a packet.
+/// Encodes a message; returns `None` if it doesn't fit into a packet.
 pub(super) fn encode(core: &Core, message: &Message) -> Option<Vec<u8>> {
     let bytes = postcard::to_allocvec(message).ok()?;
     if bytes.len() > MAX_DATAGRAM_BYTES {
-        emit!(core.logger, debug, event::PEER_REFUSED, "why" => "larger than a packet");
+        emit!(core.logger, debug, event::PEER_REFUSED, "why" => "encoded message is larger than a packet");
         return None;
     }
     Some(bytes)
 }
 
-/// Sends a message; one that is lost is made up for by the next.
+/// Sends a message. It isn't retransmitted: the next message makes up for a lost one.
 pub(super) async fn send(core: &Core, socket: &UdpSocket, to: SocketAddr, message: &Message) {
     if let Some(bytes) = encode(core, message) {
         send_bytes(core, socket, to, &bytes).await;
     }
 }
 
-/// Sends a message in its encoding.
+/// Sends an encoded message.
 pub(super) async fn send_bytes(core: &Core, socket: &UdpSocket, to: SocketAddr, bytes: &[u8]) {
     if let Err(why) = socket.send_to(bytes, to).await {
         emit!(core.logger, debug, event::PEER_REFUSED, "peer" => %to, "why" => %why);
     }
 }
 
-/// Sends a message unless the socket has no room at the moment.
+/// Sends a message, or drops it if the send buffer of the socket is full.
 pub(super) fn try_send(core: &Core, socket: &UdpSocket, to: SocketAddr, message: &Message) {
     let Ok(bytes) = postcard::to_allocvec(message) else {
         return;
@@ -81,7 +81,7 @@
     }
 }
 
-/// Hears the other boxes for ever.
+/// Receives messages of the other boxes for as long as the box runs.
 pub async fn receive(core: Shared, socket: Rc<UdpSocket>) {
     let mut buffer = [0_u8; MAX_DATAGRAM_BYTES];
     loop {
@@ -89,7 +89,7 @@
             Ok(received) => received,
             Err(why) => {
                 emit!(core.logger, debug, event::PEER_REFUSED, "why" => %why);
-                sleep(AFTER_ERROR).await;
+                sleep(ERROR_PAUSE).await;
                 continue;
             }
         };
@@ -109,7 +109,7 @@
     };
     match received {
         Ok(message) => apply(core, socket, from, message).await,
-        Err(why) => refuse(core, from, &why),
+        Err(why) => reject(core, from, &why),
     }
 }
 
@@ -134,11 +134,11 @@
         Message::Limits(limits) => rate_limit::receive_limits(core, from, &limits),
         Message::Acquire(query) => rate_limit::receive_acquire(core, socket, from, &query),
         Message::Permit(answer) => rate_limit::deliver(core, answer),
-        Message::Forward(_) => refuse(core, from, &"a message in a message is handed on"),
+        Message::Forward(_) => reject(core, from, &"a forwarded message must not contain another one"),
     }
 }
 
-fn refuse(core: &Core, from: SocketAddr, why: &dyn std::fmt::Display) {
+fn reject(core: &Core, from: SocketAddr, why: &dyn std::fmt::Display) {
     core.metrics.strange.inc();
     emit!(core.logger, debug, event::PEER_REFUSED, "peer" => %from, "why" => %why);
 }
--- a/crates/jb-relay/src/peers/status.rs
+++ b/crates/jb-relay/src/peers/status.rs
@@ -1,8 +1,8 @@
 //! Publishes the load of each box, and in a small fleet the prompts that it has sent.
 //!
-//! In a small fleet each box sends its status to all others. In a large one it sends it to the relay node
-//! of its data hall, which answers with the sum of all others; relay nodes exchange the sums of their
-//! halls. So the traffic of a box doesn't grow with the fleet.
+//! In a small fleet each box sends its status to all others. In a large one it sends its status to the relay node of its
+//! data hall, which replies with the sum of all other boxes; relay nodes exchange the sums of their halls. This way the
+//! traffic of a box doesn't grow with the fleet.
 
 mod compose;
 mod loads;
@@ -28,34 +28,34 @@
 use crate::upstream::{Load, Upstream};
 
 /// Interval at which the status is sent.
-const PERIOD: Duration = Duration::from_millis(100);
+const STATUS_INTERVAL: Duration = Duration::from_millis(100);
 /// The same in a large fleet.
-const LARGE_PERIOD: Duration = Duration::from_millis(200);
-/// Time without an answer after which another box becomes the relay node.
+const LARGE_FLEET_STATUS_INTERVAL: Duration = Duration::from_millis(200);
+/// Time without a status from the relay node after which another box becomes the relay node.
 const RELAY_NODE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Prompts that wait for the next status.
+/// Maximum number of prompts that wait for the next status.
 const MAX_QUEUED_USES: usize = 100;
-/// Intervals after which an empty status is sent all the same: the others count the box by it, and a box
-/// that was partitioned learns from it whether the store was unreachable.
-const IDLE_PERIODS: u32 = 8;
+/// Number of intervals after which even an empty status is sent: the other boxes count this box by it, and a box that
+/// was partitioned learns from it whether the store was unreachable.
+const EMPTY_STATUS_INTERVALS: u32 = 8;
 
-/// A prompt that was sent to an engine, or to a store.
+/// A prompt that was sent to an engine or a cache store, and is now in its cache.
 #[derive(Clone, Copy, Debug)]
 pub struct SentPrompt<'a> {
-    /// Hash of the engine's id, or of the store's address.
+    /// Hash of the engine's id, or of the cache store's address.
     pub target: u64,
-    /// Version of the weights, for a store; 0 for an engine.
+    /// Version of the weights for a cache store; 0 for an engine.
     pub version: u64,
     /// Shared segments.
     pub shared: &'a [Segment],
-    /// Tokens of its own, read and made.
+    /// Tokens of the prompt that are not shared, and generated tokens.
     pub own: u64,
 }
 
-/// Notes a prompt for the next status. In a large fleet the accounts of engines have it.
+/// Records a prompt for the next status. In a large fleet the owners of engines track prompts instead.
 pub fn record_cache_use(core: &Core, prompt: SentPrompt<'_>) {
     let mut loads = core.loads.borrow_mut();
-    if !core.book.borrow().is_small() || loads.own.len() >= MAX_QUEUED_USES {
+    if !core.book.borrow().is_small() || loads.queued_uses.len() >= MAX_QUEUED_USES {
         return;
     }
     let shared = prompt
@@ -63,7 +63,7 @@
         .iter()
         .map(|segment| (segment.id, saturating_cast(segment.tokens)))
         .collect();
-    loads.own.push(CacheUse {
+    loads.queued_uses.push(CacheUse {
         target: prompt.target,
         version: prompt.version,
         shared,
@@ -73,44 +73,44 @@
 
 /// Publishes the status for as long as the box runs.
 pub async fn publish(core: Shared, socket: Rc<UdpSocket>) {
-    let mut quiet = 0;
+    let mut empty_intervals = 0;
     loop {
         outbox::broadcast_signals(&core, &socket).await;
         if core.book.borrow().is_small() {
-            outbox::broadcast_prompts(&core, &socket, PERIOD).await;
-            let nothing = broadcast_status(&core, &socket, quiet).await;
-            quiet = if nothing { quiet + 1 } else { 0 };
+            outbox::broadcast_prompts(&core, &socket, STATUS_INTERVAL).await;
+            let is_empty = broadcast_status(&core, &socket, empty_intervals).await;
+            empty_intervals = if is_empty { empty_intervals + 1 } else { 0 };
         } else {
-            sleep(LARGE_PERIOD).await;
+            sleep(LARGE_FLEET_STATUS_INTERVAL).await;
             send_to_relay_node(&core, &socket).await;
         }
     }
 }
 
-/// Sends the status to all other boxes; returns whether it is empty, as the `quiet` ones before.
-async fn broadcast_status(core: &Core, socket: &UdpSocket, quiet: u32) -> bool {
-    let uses = std::mem::take(&mut core.loads.borrow_mut().own);
+/// Sends the status to all other boxes; returns whether it is empty. The `empty_intervals` previous ones were empty too.
+async fn broadcast_status(core: &Core, socket: &UdpSocket, empty_intervals: u32) -> bool {
+    let uses = std::mem::take(&mut core.loads.borrow_mut().queued_uses);
     core.notices.borrow_mut().clear_prompts();
     let status = Status {
         loads: own_loads(core),
         uses,
         ..Status::new(core)
     };
-    let nothing = status.loads.is_empty() && status.uses.is_empty();
-    if !nothing || quiet.is_multiple_of(IDLE_PERIODS) {
+    let is_empty = status.loads.is_empty() && status.uses.is_empty();
+    if !is_empty || empty_intervals.is_multiple_of(EMPTY_STATUS_INTERVALS) {
         for message in messages(status) {
             broadcast(core, socket, &message).await;
         }
     }
-    nothing
+    is_empty
 }
 
-/// Sends the status to the relay node of the hall; that one sends the hall's sum to the other relay nodes.
+/// Sends the status to the relay node of the hall, or, if this box is the relay node, the hall's sum to the other ones.
 async fn send_to_relay_node(core: &Core, socket: &UdpSocket) {
     let now = core.now();
     let relay_node = core.book.borrow().relay_node(&core.settings.hall, now).cloned();
     let Some(relay_node) = relay_node else { return };
-    note_role(core, relay_node == core.settings.id);
+    update_role(core, relay_node == core.settings.id);
     if relay_node == core.settings.id {
         core.loads.borrow_mut().relay_node_seen = now;
         send_to_other_relay_nodes(core, socket).await;
@@ -130,10 +130,10 @@
     send_to(core, socket, &relay_node, status).await;
 }
 
-/// Notes whether this box is the relay node of its hall.
-fn note_role(core: &Core, is_relay_node: bool) {
-    let before = core.metrics.relay_node.set(i64::from(is_relay_node)) != 0;
-    if before != is_relay_node {
+/// Sets the metric for the role of relay node, and logs a change of the role.
+fn update_role(core: &Core, is_relay_node: bool) {
+    let was_relay_node = core.metrics.relay_node.set(i64::from(is_relay_node)) != 0;
+    if was_relay_node != is_relay_node {
         emit!(core.logger, info, event::RELAY_NODE_ROLE, "is_relay_node" => is_relay_node);
     }
 }
@@ -183,14 +183,14 @@
         apply_use(core, used);
     }
     if !core.book.borrow().is_small() {
-        let relay_node = core.book.borrow().relay_node(&core.settings.hall, now) == Some(&status.from);
-        if relay_node {
+        let is_own_relay_node = core.book.borrow().relay_node(&core.settings.hall, now) == Some(&status.from);
+        if is_own_relay_node {
             core.loads.borrow_mut().relay_node_seen = now;
         }
         // Only relay nodes send their loads to boxes of other halls.
-        let is_of_relay_node = status.has_loads() && !status.wants_sum;
-        let is_elsewhere = core.book.borrow().hall(&status.from) != Some(&core.settings.hall);
-        if is_of_relay_node && is_elsewhere {
+        let is_from_relay_node = status.has_loads() && !status.wants_sum;
+        let is_from_other_hall = core.book.borrow().hall(&status.from) != Some(&core.settings.hall);
+        if is_from_relay_node && is_from_other_hall {
             core.book.borrow_mut().note_relay_node(&status.from, now);
         }
     }
@@ -239,14 +239,14 @@
     }
 }
 
-/// Notes a prompt that another box has sent; it counts until that box's next status.
+/// Adds a prompt that another box has sent to its load until its next status.
 pub(super) fn add_prompt(core: &Core, from: &str, upstream: u32, tokens: u64) {
     if core.loads.borrow_mut().add(from, upstream, tokens) {
         update_upstreams(core, &[upstream]);
     }
 }
 
-/// Gives upstreams the present sums of the other boxes' loads.
+/// Sets the sums of the other boxes' loads on these upstreams.
 fn update_upstreams(core: &Core, names: &[u32]) {
     let loads = core.loads.borrow();
     let mut upstreams = core.upstreams.borrow_mut();
--- a/crates/jb-relay/src/peers/status/compose.rs
+++ b/crates/jb-relay/src/peers/status/compose.rs
@@ -1,4 +1,4 @@
-//! Composition of a status, and its split into datagrams.
+//! Creates statuses, and splits them into datagrams.
 
 use std::time::Duration;
 
@@ -8,9 +8,9 @@
 use crate::core::Core;
 use crate::peers::message::{Message, Status, StoreSpan};
 
-/// Prompts in one status; more are left out.
+/// Maximum number of prompts in one datagram. Prompts beyond two datagrams are left out.
 const MAX_USES: usize = 20;
-/// Upstreams whose load is in a status, the busiest first.
+/// Maximum number of upstreams whose load is in a status, the busiest first.
 const MAX_LOADS: usize = 110;
 
 /// Splits a status into messages that each fit into a packet.
@@ -24,7 +24,7 @@
     if status.loads.len() <= MAX_LOADS / 4 && rest.is_empty() {
         return vec![Message::Status(status)];
     }
-    // Loads in one message; prompts in others, which repeat no loads.
+    // The first message has the loads; the prompts follow in others, which don't repeat the loads.
     let from = status.from.clone();
     let uses = [std::mem::take(&mut status.uses), rest];
     let mut all = vec![Message::Status(status)];
@@ -50,8 +50,8 @@
     }
 }
 
-/// Returns a span of another box. The network delay makes it end later than it did, by less than one read
-/// of the store takes.
+/// Returns the time span that another box has sent, by the clock of this box. The network delay makes it end later than
+/// it did, by less time than one read of the store takes.
 pub(super) fn span(status: StoreSpan, now: Moment) -> Span {
     let at = |before| now.saturating_sub(Duration::from_millis(before));
     Span {
@@ -61,7 +61,7 @@
 }
 
 impl Status {
-    /// An empty status.
+    /// Returns an empty status of this box.
     pub(in crate::peers) fn new(core: &Core) -> Self {
         let from = core.settings.id.clone();
         Self {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Returns whether it has loads: a message with prompts or weights alone hasn't.
+    /// Returns whether the message replaces the sender's loads: one with only prompts or weights doesn't.
     pub(super) fn has_loads(&self) -> bool {
         self.wants_sum || !self.loads.is_empty() || (self.uses.is_empty() && self.weights.is_empty())
     }
--- a/crates/jb-relay/src/peers/status/loads.rs
+++ b/crates/jb-relay/src/peers/status/loads.rs
@@ -1,7 +1,7 @@
 //! Statuses of the other boxes, with the sums of their loads.
 //!
-//! The sums follow the differences between statuses, so a status costs by the upstreams that it names and not by
-//! all that are known.
+//! The sums are updated by the difference between two statuses, so the cost of a status grows with the upstreams that it
+//! names, not with all known upstreams.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -12,38 +12,38 @@
 
 use crate::peers::message::{CacheUse, UpstreamLoad};
 
-/// Age beyond which a status isn't used.
+/// Age from which on a status isn't used.
 const MAX_STATUS_AGE: Duration = Duration::from_millis(1500);
 
-/// Short name of an upstream.
+/// Short name of an upstream: the lower half of the hash of its id.
 type Name = u32;
 
-/// Status of the other boxes, and what this one has to send.
+/// Statuses of the other boxes, and the prompts for the next status of this box.
 #[derive(Debug, Default)]
 pub struct Loads {
     received: BTreeMap<id::Box, ReceivedStatus>,
     all: Sums,
     members: Sums,
     /// Prompts of this box since its last status.
-    pub(super) own: Vec<CacheUse>,
-    /// When the relay node last sent its sum.
+    pub(super) queued_uses: Vec<CacheUse>,
+    /// When the last status of the own relay node arrived.
     pub(super) relay_node_seen: Moment,
 }
 
-/// Status of another box.
+/// Status of another box, or the sum that a relay node has sent.
 #[derive(Clone, Debug)]
 pub struct ReceivedStatus {
     /// When it was received.
     pub at: Moment,
-    /// Whether the sender receives sums from this box.
+    /// Whether the sender uses this box as its relay node.
     pub is_member: bool,
-    /// Loads of the sender, or of the boxes that it sums up.
+    /// Loads of the sender, or the sums of the boxes behind it.
     pub loads: Vec<UpstreamLoad>,
-    /// Span in which the store has answered the sender or others.
+    /// Time span in which the store has answered the sender or others.
     pub store_span: Option<Span>,
 }
 
-/// Loads of several boxes together, by upstream.
+/// Sums of the loads of several boxes, by upstream.
 #[derive(Clone, Debug, Default)]
 struct Sums(HashMap<Name, UpstreamLoad>);
 
@@ -70,14 +70,14 @@
         }
     }
 
-    /// Adds loads, and returns all sums.
+    /// Adds loads and returns all sums.
     fn with(mut self, loads: &[UpstreamLoad]) -> Vec<UpstreamLoad> {
         loads.iter().for_each(|load| self.add(load));
         self.0.into_values().collect()
     }
 }
 
-/// Adds a load of a status to the sums that it belongs to.
+/// Adds a load of a status to the sums that include the status.
 fn add(all: &mut Sums, members: &mut Sums, status: &ReceivedStatus, load: &UpstreamLoad) {
     all.add(load);
     if status.is_member {
@@ -86,7 +86,7 @@
 }
 
 impl Loads {
-    /// Replaces the status of a box; returns the upstreams whose sums may have changed.
+    /// Replaces the status of a box, and drops outdated ones. Returns the upstreams whose sums may have changed.
     pub fn put(&mut self, from: &id::Box, status: ReceivedStatus) -> Vec<Name> {
         let mut touched = self.drop_outdated(status.at);
         touched.extend(self.remove(from));
@@ -98,19 +98,19 @@
         touched
     }
 
-    /// Adds a prompt to the status of a box until its next one; returns whether the box has sent any.
+    /// Adds a prompt to the status of a box until its next one. Returns false if there is no status of that box.
     pub(super) fn add(&mut self, from: &str, upstream: Name, tokens: u64) -> bool {
         let Some(received) = self.received.get_mut(from) else {
             return false;
         };
-        let more = UpstreamLoad {
+        let prompt = UpstreamLoad {
             upstream,
             running: 1,
             fixed: 0,
             waiting: tokens,
         };
-        received.loads.push(more);
-        add(&mut self.all, &mut self.members, received, &more);
+        received.loads.push(prompt);
+        add(&mut self.all, &mut self.members, received, &prompt);
         true
     }
 
@@ -134,27 +134,27 @@
         outdated.iter().flat_map(|id| self.remove(id)).collect()
     }
 
-    /// Load of all other boxes on an upstream.
+    /// Returns the sum of the other boxes' loads on an upstream.
     pub fn others(&self, upstream: Name) -> UpstreamLoad {
         self.all.0.get(&upstream).copied().unwrap_or_default()
     }
 
-    /// Adds the loads of all boxes but one to `own`.
+    /// Returns the sums of `own` and the loads of all other boxes except `id`.
     pub fn sum_without(&self, id: &str, own: Vec<UpstreamLoad>) -> Vec<UpstreamLoad> {
         let mut sums = self.all.clone();
-        let left_out = self.received.get(id).map(|received| received.loads.as_slice());
-        for load in left_out.unwrap_or_default() {
+        let excluded = self.received.get(id).map(|received| received.loads.as_slice());
+        for load in excluded.unwrap_or_default() {
             sums.subtract(load);
         }
         sums.with(&own)
     }
 
-    /// Adds the loads of the members of this relay node to `own`.
+    /// Returns the sums of `own` and the loads of the boxes that use this one as their relay node.
     pub fn sum_of_members(&self, own: Vec<UpstreamLoad>) -> Vec<UpstreamLoad> {
         self.members.clone().with(&own)
     }
 
-    /// Spans in which the store has answered the boxes that are reachable, as far as each knows.
+    /// Returns the time spans in which the store has answered, as reported by the reachable boxes.
     pub fn store_spans(&self, now: Moment) -> Vec<Span> {
         let received = self
             .received
@@ -163,12 +163,12 @@
         received.filter_map(|received| received.store_span).collect()
     }
 
-    /// When the relay node last sent its sum.
+    /// Returns when the last status of the own relay node arrived.
     pub(in crate::peers) fn relay_node_seen(&self) -> Moment {
         self.relay_node_seen
     }
 
-    /// Boxes that have sent their status to this one as their relay node since a moment.
+    /// Returns the boxes that have sent their status to this one as their relay node since a point in time.
     pub(in crate::peers) fn members(&self, since: Moment) -> Vec<id::Box> {
         let received = self
             .received
@@ -177,7 +177,7 @@
         received.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Boxes that have sent a status since a moment.
+    /// Returns the boxes that have sent a status since a point in time.
     pub(in crate::peers) fn senders(&self, since: Moment) -> Vec<id::Box> {
         let received = self.received.iter().filter(|(_, received)| received.at >= since);
         received.map(|(id, _)| id.clone()).collect()
--- a/crates/jb-relay/src/peers/suspicion.rs
+++ b/crates/jb-relay/src/peers/suspicion.rs
@@ -1,8 +1,8 @@
 //! Exchanges evidence on poison requests between boxes.
 //!
-//! New evidence goes to all boxes at once, as callers retry such a request at any of them. What is still
-//! suspected is sent again to a few boxes from time to time, for those that lost the datagram, have started
-//! since, or were partitioned.
+//! New evidence is broadcast immediately, because callers retry such a request at any box. Requests that are still
+//! suspected are sent again to a few boxes at intervals, for boxes that lost the datagram, have started since, or were
+//! partitioned.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,18 +22,18 @@
 use crate::quarantine::{self, News, Trial};
 
 /// Interval at which suspected requests are sent again.
-const PERIOD: Duration = Duration::from_secs(1);
-/// Boxes that receive them each time: the next ones in the order of their ids, so that each box receives them
-/// from as many others.
+const RESEND_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of boxes that receive them each time: the next ones in the order of ids, so that each box receives them from
+/// the same number of others.
 const BOXES_PER_BROADCAST: usize = 3;
-/// Requests in one datagram; a row with eight engines has 150 bytes.
+/// Maximum number of requests in one datagram; a row with eight engines has 150 bytes.
 const MAX_ROWS: usize = 8;
-/// Datagrams to each box in one interval.
+/// Maximum number of datagrams to each box in one interval.
 const MAX_DATAGRAMS: usize = 4;
 
 /// Publishes evidence for as long as the box runs.
 pub async fn publish(core: Shared, socket: Rc<UdpSocket>) {
-    let mut due = core.now() + PERIOD;
+    let mut due = core.now() + RESEND_INTERVAL;
     let mut restored = core.restored.get().map(|restore| restore.noticed);
     loop {
         let left = due.saturating_sub(core.now());
@@ -50,11 +50,11 @@
             }
             continue;
         }
-        due = core.now() + PERIOD;
+        due = core.now() + RESEND_INTERVAL;
         let noticed = core.restored.get().map(|restore| restore.noticed);
         if noticed != restored {
             restored = noticed;
-            quarantine_record::write_lost(&core);
+            quarantine_record::rewrite_lost(&core);
         }
         if !core.quarantine.is_empty() {
             core.quarantine.forget(core.now());
--- a/crates/jb-relay/src/peers/weights.rs
+++ b/crates/jb-relay/src/peers/weights.rs
@@ -1,4 +1,4 @@
-//! Broadcasts which engines load weights or have loaded them.
+//! Broadcasts which engines are loading weights or have loaded them.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,17 +13,17 @@
 use crate::core::{Core, Shared};
 use crate::upstream::Instance;
 
-/// Time for which an engine that loads weights gets nothing, unless it is done before.
+/// Time for which an engine that is loading weights is sent no requests, unless it finishes earlier.
 pub const MAX_LOADING_TIME: Duration = Duration::from_millis(2500);
-/// Time for which publications are batched: a release begins and ends loads by tens at a time.
+/// Time for which publications are batched: during a release, loads begin and end by tens at a time.
 const BATCH_DELAY: Duration = Duration::from_millis(15);
-/// Engines in one datagram.
+/// Maximum number of engines in one datagram.
 const MAX_PER_DATAGRAM: usize = 48;
 
-/// Engines that are about to be published.
+/// Loaded weights that wait for the next broadcast.
 pub type PendingWeights = Vec<LoadedWeights>;
 
-/// Publishes that an engine has a version of a model's weights, or loads one when there is none.
+/// Publishes that an engine has loaded a version of a model's weights, or is loading weights if there is no version.
 pub fn publish_weights(
     core: &Shared,
     socket: &Rc<UdpSocket>,
@@ -37,17 +37,17 @@
         version: version.unwrap_or(0),
     };
     apply(core, &loaded);
-    let mut gathered = core.gathered.borrow_mut();
-    gathered.push(loaded);
-    if gathered.len() == 1 {
+    let mut pending = core.gathered.borrow_mut();
+    pending.push(loaded);
+    if pending.len() == 1 {
         spawn_local(flush(Rc::clone(core), Rc::clone(socket)));
     }
 }
 
 async fn flush(core: Shared, socket: Rc<UdpSocket>) {
     sleep(BATCH_DELAY).await;
-    let gathered = core.gathered.take();
-    for weights in gathered.chunks(MAX_PER_DATAGRAM) {
+    let pending = core.gathered.take();
+    for weights in pending.chunks(MAX_PER_DATAGRAM) {
         let message = Message::Status(Status {
             weights: weights.to_vec(),
             ..Status::new(&core)
@@ -56,7 +56,7 @@
     }
 }
 
-/// Applies what a box has published of an engine.
+/// Applies what a box has published about an engine.
 pub(super) fn apply(core: &Core, loaded: &LoadedWeights) {
     let now = core.now();
     let mut upstreams = core.upstreams.borrow_mut();
