--- a/crates/jb-relay/src/follow/run.rs
+++ b/crates/jb-relay/src/follow/run.rs
@@ -114,7 +114,7 @@
     match peers::pull_changes(core, socket, after, source).await {
         Ok(update) => Asked::Update(Update {
             from: Origin::Box(source),
-            whole: update.whole,
+            whole: update.is_snapshot,
             changes: update.changes,
             revision: update.revision,
             proven: Some(update.proven),
--- a/crates/jb-relay/src/follow/start_up.rs
+++ b/crates/jb-relay/src/follow/start_up.rs
@@ -114,7 +114,7 @@
                 return Attempt::Done(Update {
                     from: Origin::Box(Source::RelayNode),
                     changes: transfer.changes,
-                    whole: transfer.whole,
+                    whole: transfer.is_snapshot,
                     revision: transfer.revision,
                     proven: transfer.proven,
                 });
--- a/crates/jb-relay/src/peers/pull.rs
+++ b/crates/jb-relay/src/peers/pull.rs
@@ -112,7 +112,7 @@
     /// Earliest time at which this was the state of the store.
     pub proven: Moment,
     /// Whether the changes are all items of the store.
-    pub whole: bool,
+    pub is_snapshot: bool,
 }
 
 /// Boxes from which changes of the store are pulled.
@@ -205,7 +205,7 @@
                 all.extend(changes.into_iter().map(Change::from));
                 if is_complete {
                     return Ok(Update {
-                        whole: after.era < revision.era,
+                        is_snapshot: after.era < revision.era,
                         changes: all,
                         revision,
                         proven: requested_at.saturating_sub(Duration::from_millis(reply.age_ms)),
@@ -237,7 +237,7 @@
         changes: transfer.changes,
         revision: transfer.revision,
         proven: transfer.proven.ok_or(Error::KnowsNoMore)?,
-        whole: transfer.whole,
+        is_snapshot: transfer.is_snapshot,
     })
 }
 
--- a/crates/jb-relay/src/peers/transfer.rs
+++ b/crates/jb-relay/src/peers/transfer.rs
@@ -1,8 +1,8 @@
-//! Transfers of what the store holds from box to box, over a connection.
+//! Transfers of the store's content from box to box, over TCP connections.
 //!
-//! A box that starts would otherwise read the whole store, and all boxes would read each long value. So a box asks
-//! another one for what it lacks: all that the store holds, or the changes after a revision where they don't
-//! fit into a few datagrams.
+//! Without them each box would read the whole store when it starts, and all boxes would read each long value. So a box
+//! fetches what it lacks from another one: a snapshot of the store, or the changes after a revision if they don't fit
+//! into a few datagrams.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -24,116 +24,116 @@
 use crate::saturating_cast::saturating_cast;
 use crate::{accept, link};
 
-/// Time for a connection to another box to come up.
+/// Time limit for connecting to another box.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time for a whole transfer.
+/// Time limit for the query and its reply, on either side of the connection.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(6);
-/// Time for which a box that can't answer a query yet holds it.
+/// Longest time for which a box holds a query that it can't reply to yet.
 const HOLD_TIME: Duration = Duration::from_secs(4);
-/// Interval at which it looks whether it knows something.
-const LOOK: Duration = Duration::from_millis(20);
-/// Longest query, and longest answer without its changes, in bytes.
+/// Interval at which it checks whether it can reply.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Longest query, and max_length answer without its changes, in bytes.
 const MAX_MESSAGE_BYTES: u32 = 64;
-/// Longest changes, in bytes as they are sent, and uncompressed.
+/// Longest changes, in bytes, both compressed and uncompressed.
 const MAX_CHANGES_BYTES: u32 = 32 << 20;
-/// Time for which the encoded content of the store is sent again; boxes that start together ask for the same.
+/// Time for which an encoded snapshot is reused: boxes that start together fetch the same one.
 const REUSE_TIME: Duration = Duration::from_secs(1);
-/// Transfers to other boxes at the same time; more wait.
+/// Maximum number of concurrent transfers to other boxes; further ones wait.
 const MAX_TRANSFERS: usize = 24;
 
 /// A query of another box.
 #[derive(Debug, Serialize, Deserialize)]
 struct Query {
-    /// Revision that it has; `None` when it knows nothing.
+    /// Revision that the box has; `None` if it has none.
     after: Option<Revision>,
 }
 
-/// Answer to a query; the changes follow in a compressed frame where there are some.
+/// Reply to a query. After `Found`, the changes follow in a compressed frame.
 #[derive(Debug, Serialize, Deserialize)]
-enum Answer {
-    /// The box doesn't have what is asked for.
+enum Reply {
+    /// The box doesn't have the requested changes.
     Unknown,
-    /// It does.
+    /// The box has them.
     Found(Header),
 }
 
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 struct Header {
-    /// Age of what the box knows, in milliseconds; `None` where that is as old as a stale read.
+    /// Age of the box's knowledge, in milliseconds; `None` if it is only known to be from a stale read.
     age_ms: Option<u64>,
-    /// Revision after the changes.
+    /// Revision that the store has after the changes.
     revision: Revision,
-    /// Whether the changes are all that the store holds.
-    whole: bool,
+    /// Whether the changes are all items of the store.
+    is_snapshot: bool,
 }
 
 /// Why a transfer failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The other box accepts no connection.
-    #[error("no connection: {0}")]
+    /// No connection to the other box could be established.
+    #[error("can't connect to the other box: {0}")]
     Unreachable(std::io::Error),
-    /// The connection broke.
-    #[error("the connection broke: {0}")]
+    /// The connection failed during the transfer.
+    #[error("connection failed during the transfer: {0}")]
     Broken(std::io::Error),
     /// The transfer took too long.
-    #[error("not done within {TRANSFER_TIMEOUT:?}")]
+    #[error("transfer timed out after {TRANSFER_TIMEOUT:?}")]
     Late,
-    /// The answer can't be read.
-    #[error("the answer can't be read: {0}")]
+    /// The reply can't be decoded.
+    #[error("can't decode the reply: {0}")]
     Unreadable(String),
-    /// The other box doesn't have what is asked for.
-    #[error("the other box doesn't know it")]
+    /// The other box doesn't have the requested changes.
+    #[error("the other box doesn't have the requested changes")]
     Unknown,
 }
 
-/// What another box has sent.
+/// Content of the store that another box has sent.
 #[derive(Debug)]
 pub struct Transfer {
-    /// Changes, the older first, or all items.
+    /// Changes, the oldest first, or all items of the store.
     pub changes: Vec<Change>,
-    /// Revision after them.
+    /// Revision that the store has after them.
     pub revision: Revision,
-    /// When they were true, at the earliest; `None` where they may be as old as a stale read.
+    /// Earliest time at which this was the state of the store; `None` if it may be as old as a stale read.
     pub proven: Option<Moment>,
-    /// Whether they are all that the store holds.
-    pub whole: bool,
+    /// Whether the changes are all items of the store.
+    pub is_snapshot: bool,
 }
 
-/// Asks another box for what follows a revision, or for everything.
+/// Fetches the changes after a revision, or a snapshot of the store, from another box.
 ///
 /// # Errors
-/// Why there is no answer.
+/// Why the transfer failed.
 pub async fn fetch_changes(
     core: &Core,
     from: SocketAddr,
     after: Option<Revision>,
 ) -> Result<Transfer, Error> {
-    let asked = core.now();
+    let requested_at = core.now();
     let connecting = timeout(CONNECT_TIMEOUT, link::connect(from));
     let late = || Error::Unreachable(std::io::ErrorKind::TimedOut.into());
     let stream = connecting.await.map_err(|_| late())?;
     let mut stream = stream.map_err(Error::Unreachable)?;
     let query = Query { after };
-    let answer = timeout(TRANSFER_TIMEOUT, exchange(&mut stream, &query)).await;
-    let (header, changes) = answer.map_err(|_| Error::Late)??;
+    let reply = timeout(TRANSFER_TIMEOUT, request(&mut stream, &query)).await;
+    let (header, changes) = reply.map_err(|_| Error::Late)??;
     core.metrics.transfers.inc();
     let age = header.age_ms.map(Duration::from_millis);
     Ok(Transfer {
         changes,
         revision: header.revision,
-        proven: age.map(|age| asked.saturating_sub(age)),
-        whole: header.whole,
+        proven: age.map(|age| requested_at.saturating_sub(age)),
+        is_snapshot: header.is_snapshot,
     })
 }
 
-async fn exchange(stream: &mut TcpStream, query: &Query) -> Result<(Header, Vec<Change>), Error> {
+async fn request(stream: &mut TcpStream, query: &Query) -> Result<(Header, Vec<Change>), Error> {
     write_message(stream, query).await.map_err(Error::Broken)?;
-    let answer = read_frame(stream, MAX_MESSAGE_BYTES).await;
-    let answer = postcard::from_bytes(&answer.map_err(Error::Broken)?);
-    let header = match answer.map_err(unreadable)? {
-        Answer::Unknown => return Err(Error::Unknown),
-        Answer::Found(header) => header,
+    let reply = read_frame(stream, MAX_MESSAGE_BYTES).await;
+    let reply = postcard::from_bytes(&reply.map_err(Error::Broken)?);
+    let header = match reply.map_err(unreadable)? {
+        Reply::Unknown => return Err(Error::Unknown),
+        Reply::Found(header) => header,
     };
     let frame = read_frame(stream, MAX_CHANGES_BYTES).await;
     let changes = decode(&frame.map_err(Error::Broken)?)?;
@@ -147,7 +147,7 @@
 fn decode(frame: &[u8]) -> Result<Vec<Change>, Error> {
     let (length, _) = lz4_flex::block::uncompressed_size(frame).map_err(unreadable)?;
     if length > MAX_CHANGES_BYTES as usize {
-        return Err(unreadable("the changes are too long"));
+        return Err(unreadable("the changes are longer than the limit"));
     }
     let bytes = lz4_flex::block::decompress_size_prepended(frame).map_err(unreadable)?;
     let changes: Vec<StoreChange> = postcard::from_bytes(&bytes).map_err(unreadable)?;
@@ -165,9 +165,9 @@
     write_frame(stream, &bytes).await
 }
 
-async fn read_frame(stream: &mut TcpStream, longest: u32) -> std::io::Result<Vec<u8>> {
+async fn read_frame(stream: &mut TcpStream, max_length: u32) -> std::io::Result<Vec<u8>> {
     let length = stream.read_u32().await?;
-    if length > longest {
+    if length > max_length {
         return Err(std::io::ErrorKind::InvalidData.into());
     }
     let mut frame = vec![0; length as usize];
@@ -180,13 +180,13 @@
     stream.write_all(frame).await
 }
 
-/// Answers other boxes for ever.
+/// Serves transfers to other boxes for as long as the box runs.
 pub async fn serve(core: Shared, listener: TcpListener) {
-    accept::serve(core, listener, connection).await;
+    accept::serve(core, listener, serve_connection).await;
 }
 
-async fn connection(core: Shared, mut stream: TcpStream) {
-    let served = timeout(TRANSFER_TIMEOUT, answer(&core, &mut stream)).await;
+async fn serve_connection(core: Shared, mut stream: TcpStream) {
+    let served = timeout(TRANSFER_TIMEOUT, reply(&core, &mut stream)).await;
     let why = match served {
         Ok(Ok(())) => return,
         Ok(Err(why)) => why,
@@ -195,46 +195,47 @@
     emit!(core.logger, debug, event::PEER_REFUSED, "why" => %why);
 }
 
-async fn answer(core: &Core, stream: &mut TcpStream) -> std::io::Result<()> {
+async fn reply(core: &Core, stream: &mut TcpStream) -> std::io::Result<()> {
     let host = stream.peer_addr()?.ip();
     let query = read_frame(stream, MAX_MESSAGE_BYTES).await?;
     let query: Query = postcard::from_bytes(&query).map_err(std::io::Error::other)?;
-    // A box that starts asks right after it has registered.
-    let until = core.now() + HOLD_TIME;
-    while core.now() < until && !(can_answer(core, &query) && core.book.borrow().contains_host(host)) {
-        sleep(LOOK).await;
+    // A box that starts connects right after it has registered, so its address may not have arrived here yet.
+    let deadline = core.now() + HOLD_TIME;
+    while core.now() < deadline && !(can_reply(core, &query) && core.book.borrow().contains_host(host)) {
+        sleep(CHECK_INTERVAL).await;
     }
     if !core.book.borrow().contains_host(host) {
         core.metrics.strange.inc();
         return Err(std::io::ErrorKind::PermissionDenied.into());
     }
     // The semaphore is never closed.
-    let _turn = core.transfers.turns.acquire().await;
-    let found = if can_answer(core, &query) {
-        find(core, query.after)?
+    let _permit = core.transfers.permits.acquire().await;
+    let found = if can_reply(core, &query) {
+        find_changes(core, query.after)?
     } else {
         None
     };
     match found {
         Some((header, changes)) => {
-            write_message(stream, &Answer::Found(header)).await?;
+            write_message(stream, &Reply::Found(header)).await?;
             write_frame(stream, &changes).await?;
         }
-        None => write_message(stream, &Answer::Unknown).await?,
+        None => write_message(stream, &Reply::Unknown).await?,
     }
     stream.shutdown().await
 }
 
-/// Returns whether the box knows what a query asks for. Who knows something already waits for what is recent.
-fn can_answer(core: &Core, query: &Query) -> bool {
+/// Returns whether this box can reply to a query. For changes its knowledge must be recent; for a snapshot any is enough.
+fn can_reply(core: &Core, query: &Query) -> bool {
     match query.after {
         None => core.knows_store(),
         Some(_) => core.age().is_some_and(is_fresh),
     }
 }
 
-/// Returns the changes after a revision, or everything where the log doesn't reach back so far.
-fn find(core: &Core, after: Option<Revision>) -> std::io::Result<Option<(Header, Bytes)>> {
+/// Returns the changes after a revision, or a snapshot if there is no revision or the log doesn't reach back that far.
+/// Returns `None` for a revision that this box doesn't have yet.
+fn find_changes(core: &Core, after: Option<Revision>) -> std::io::Result<Option<(Header, Bytes)>> {
     let revision = core.log.borrow().revision();
     if after.is_some_and(|after| after > revision) {
         return Ok(None);
@@ -242,67 +243,67 @@
     let log = core.log.borrow();
     let Some((after, changes)) = after.and_then(|after| Some((after, log.since(after)?))) else {
         drop(log);
-        return whole(core).map(Some);
+        return snapshot(core).map(Some);
     };
     let header = Header {
         age_ms: core.age().map(millis),
         revision,
-        whole: after.era < revision.era,
+        is_snapshot: after.era < revision.era,
     };
     Ok(Some((header, encode(changes)?)))
 }
 
-fn whole(core: &Core) -> std::io::Result<(Header, Bytes)> {
+fn snapshot(core: &Core) -> std::io::Result<(Header, Bytes)> {
     let now = core.now();
-    let known = core.transfers.whole.borrow().clone();
-    let whole = match known.filter(|known| now < known.encoded + REUSE_TIME) {
-        Some(known) => known,
+    let cached = core.transfers.snapshot.borrow().clone();
+    let snapshot = match cached.filter(|cached| now < cached.encoded_at + REUSE_TIME) {
+        Some(cached) => cached,
         None => {
-            let new = Whole {
+            let encoded = Snapshot {
                 revision: core.log.borrow().revision(),
                 proven: core.proven.get(),
-                encoded: now,
+                encoded_at: now,
                 changes: encode(core.mirror.borrow().items())?,
             };
-            *core.transfers.whole.borrow_mut() = Some(new.clone());
-            new
+            *core.transfers.snapshot.borrow_mut() = Some(encoded.clone());
+            encoded
         }
     };
     let header = Header {
-        age_ms: whole.proven.map(|at| millis(now.saturating_sub(at))),
-        revision: whole.revision,
-        whole: true,
+        age_ms: snapshot.proven.map(|at| millis(now.saturating_sub(at))),
+        revision: snapshot.revision,
+        is_snapshot: true,
     };
-    Ok((header, whole.changes))
+    Ok((header, snapshot.changes))
 }
 
-/// Returns an age, rounded up.
+/// Returns an age in milliseconds, rounded up.
 fn millis(age: Duration) -> u64 {
     u64::try_from(age.as_millis()).map_or(u64::MAX, |millis| millis.saturating_add(1))
 }
 
-/// Transfers to other boxes.
+/// State of the transfers to other boxes.
 #[derive(Debug)]
 pub struct Transfers {
-    turns: Semaphore,
-    /// The last answer with everything.
-    whole: RefCell<Option<Whole>>,
+    permits: Semaphore,
+    /// The last encoded snapshot.
+    snapshot: RefCell<Option<Snapshot>>,
 }
 
-/// All that the store holds, encoded.
+/// All items of the store, encoded.
 #[derive(Clone, Debug)]
-struct Whole {
+struct Snapshot {
     revision: Revision,
     proven: Option<Moment>,
-    encoded: Moment,
+    encoded_at: Moment,
     changes: Bytes,
 }
 
 impl Default for Transfers {
     fn default() -> Self {
         Self {
-            turns: Semaphore::new(MAX_TRANSFERS),
-            whole: RefCell::default(),
+            permits: Semaphore::new(MAX_TRANSFERS),
+            snapshot: RefCell::default(),
         }
     }
 }
