--- a/crates/jb-relay/src/peers/broadcast.rs
+++ b/crates/jb-relay/src/peers/broadcast.rs
@@ -1,9 +1,9 @@
 //! Broadcasts messages to all boxes.
 //!
-//! In a small fleet the sender sends a datagram to each box. In a large one it sends one to the relay node of its data
-//! hall, which forwards it to the relay nodes of the other halls. In each hall some boxes forward the message to the
-//! others, so that no box sends more datagrams than about the square root of the number of boxes in its hall. Boxes that
-//! no relay node is known to reach receive the message directly.
+//! In a small fleet the sender sends a datagram to each box. In a large one it sends one to the relay node of its
+//! data hall, which forwards it to the relay nodes of the other halls. In each hall some boxes forward the message to
+//! the others, so that no box sends more datagrams than about the square root of the number of boxes in its hall.
+//! Boxes that no relay node is known to reach receive the message directly.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -44,21 +44,22 @@
 }
 
 fn others(core: &Core) -> Vec<SocketAddr> {
-    let book = core.book.borrow();
-    let others = book.others(&core.settings.id);
+    let directory = core.book.borrow();
+    let others = directory.others(&core.settings.id);
     others.map(|(_, peer)| peer.address).collect()
 }
 
 /// Returns the relay node of the own data hall if it has been heard from recently; `None` in a small fleet.
 fn relay_node(core: &Core) -> Option<id::Box> {
-    let book = core.book.borrow();
+    let directory = core.book.borrow();
     let now = core.now();
     let is_alive = now < core.loads.borrow().relay_node_seen() + MAX_RELAY_NODE_AGE;
-    let relay_node = book.relay_node(&core.settings.hall, now);
-    relay_node.filter(|_| is_alive && !book.is_small()).cloned()
+    let relay_node = directory.relay_node(&core.settings.hall, now);
+    relay_node.filter(|_| is_alive && !directory.is_small()).cloned()
 }
 
-/// Forwards a message to its recipients; returns the encoded message for this box, or `None` if the sender isn't listed.
+/// Forwards a message to its recipients; returns the encoded message for this box, or `None` if the sender isn't
+/// listed.
 pub(super) async fn forward(
     core: &Core,
     socket: &UdpSocket,
@@ -114,8 +115,8 @@
 fn recipients(core: &Core, sender: Option<SocketAddr>) -> (Vec<SocketAddr>, Vec<u32>) {
     let since = core.now().saturating_sub(MAX_FORWARDER_AGE);
     let alive: HashSet<id::Box> = core.loads.borrow().members(since).into_iter().collect();
-    let book = core.book.borrow();
-    let others = book.others(&core.settings.id);
+    let directory = core.book.borrow();
+    let others = directory.others(&core.settings.id);
     let others = others.filter(|(_, peer)| peer.hall == core.settings.hall && Some(peer.address) != sender);
     let (mut forwarders, mut rest): (Vec<_>, Vec<_>) = others.partition(|(id, _)| alive.contains(*id));
     rest.extend(
--- a/crates/jb-relay/src/peers/change_log.rs
+++ b/crates/jb-relay/src/peers/change_log.rs
@@ -29,8 +29,8 @@
     gaps: Vec<Gap>,
 }
 
-/// Range of revisions, both ends excluded, whose changes the store no longer had. A box whose knowledge is of a revision
-/// in between may know items that were added and removed there, which this box has never received.
+/// Range of revisions, both ends excluded, whose changes the store no longer had. A box whose knowledge is of a
+/// revision in between may know items that were added and removed there, which this box has never received.
 #[derive(Clone, Copy, Debug)]
 struct Gap {
     after: Revision,
--- a/crates/jb-relay/src/peers/directory.rs
+++ b/crates/jb-relay/src/peers/directory.rs
@@ -31,7 +31,7 @@
     /// Hash of its id.
     pub name: u64,
     /// Bandwidth of its link, in Mbit/s; 0 if unknown.
-    pub link: u32,
+    pub link_mbps: u32,
 }
 
 /// Rank of a box among the candidates for a role; the highest is preferred. Bandwidths are
@@ -39,7 +39,10 @@
 type Rank = (Option<u32>, u64);
 
 fn rank(role: u64, peer: &Peer) -> Rank {
-    (peer.link.checked_ilog2(), rendezvous::weight(role, peer.name))
+    (
+        peer.link_mbps.checked_ilog2(),
+        rendezvous::weight(role, peer.name),
+    )
 }
 
 /// All boxes that have registered their address.
@@ -52,6 +55,7 @@
     hosts: HashSet<IpAddr>,
     /// Boxes of each data hall, in the order in which they become its relay node.
     halls: BTreeMap<id::Hall, Vec<id::Box>>,
+    /// Boxes that did not reply, with the time until which they are not used.
     silent: BTreeMap<id::Box, Moment>,
     /// Boxes that have acted as relay nodes of other data halls, with the time of their last status.
     relay_nodes: BTreeMap<id::Hall, (id::Box, Moment)>,
@@ -223,7 +227,8 @@
         ids.filter_map(|id| self.address(id)).collect()
     }
 
-    /// Returns the relay nodes of the other data halls: the acting ones, or the most preferred boxes if these are unknown.
+    /// Returns the relay nodes of the other data halls: the acting ones where known, otherwise the most preferred
+    /// boxes.
     pub fn other_relay_nodes(&self, hall: &str, now: Moment) -> Vec<id::Box> {
         let others = self.halls.keys().filter(|other| *other != hall);
         let relay_node = |hall: &str| {
--- a/crates/jb-relay/src/peers/message/rate_limit.rs
+++ b/crates/jb-relay/src/peers/message/rate_limit.rs
@@ -25,7 +25,7 @@
     pub nonce: u64,
     /// Short name of the instance.
     pub instance: u32,
-    /// The limit as the asker knows it.
+    /// The limit as the asking box knows it.
     pub observation: Observation,
     /// Whether the owner for the whole fleet did not answer.
     pub is_fallback: bool,
--- a/crates/jb-relay/src/peers/owner.rs
+++ b/crates/jb-relay/src/peers/owner.rs
@@ -1,7 +1,8 @@
 //! Which box owns a piece of shared state, and which share of the fleet it decides for.
 //!
-//! Each piece has one owner, chosen by rendezvous hashing over the reachable boxes. If the owner does not reply in time,
-//! a box of the own data hall is queried. If that does not reply either, the asking box decides by its own share.
+//! Each piece has one owner, chosen by rendezvous hashing over the reachable boxes. If the owner does not reply in
+//! time, a box of the own data hall is queried. If that does not reply either, the asking box decides by its own
+//! share.
 
 use std::net::SocketAddr;
 
--- a/crates/jb-relay/src/peers/query.rs
+++ b/crates/jb-relay/src/peers/query.rs
@@ -71,13 +71,13 @@
         self.send(core, address, message);
         let reply = timeout(time, receiver).await;
         self.waiting.borrow_mut().remove(&key);
-        let mut book = core.book.borrow_mut();
+        let mut directory = core.book.borrow_mut();
         if let Ok(Ok(reply)) = reply {
-            book.mark_alive(id);
+            directory.mark_alive(id);
             core.round_trips.record(&hall, core.now().saturating_sub(sent));
             return Some(reply);
         }
-        book.note_unanswered(id, core.now());
+        directory.note_unanswered(id, core.now());
         None
     }
 
--- a/crates/jb-relay/src/peers/quota.rs
+++ b/crates/jb-relay/src/peers/quota.rs
@@ -1,5 +1,5 @@
-//! Enforces customers' quotas over all boxes: one box owns the token bucket of each customer, and the others charge every
-//! request to it.
+//! Enforces customers' quotas over all boxes: one box owns the token bucket of each customer, and the others charge
+//! every request to it.
 //!
 //! [`super::owner`] chooses the owner.
 
@@ -144,7 +144,8 @@
     let decided = owner::query(core, key, first, async |owner, scope| {
         if scope == Scope::Hall {
             charge.is_fallback = true;
-            // The box that did not reply may have applied the correction: it may be charged twice, but not refunded twice.
+            // The box that did not reply may have applied the correction, which may be charged twice but not refunded
+            // twice.
             charge.uncharged = charge.uncharged.max(0);
         }
         query(core, owner, charge).await
--- a/crates/jb-relay/src/peers/reachability.rs
+++ b/crates/jb-relay/src/peers/reachability.rs
@@ -24,8 +24,8 @@
 /// Time after its start in which a box assumes that all listed boxes are reachable, while it has received no count:
 /// boxes that start together are up after 0.2 to 2 s.
 const STARTUP_PERIOD: Duration = Duration::from_millis(4000);
-/// Time after its start before which a relay node sends no counts: until then, the boxes of a fleet that starts together
-/// haven't all sent it their status.
+/// Time after its start before which a relay node sends no counts: until then, the boxes of a fleet that starts
+/// together haven't all sent it their status.
 const FIRST_COUNT_AT: Duration = Duration::from_millis(2000);
 /// Number of status intervals between two counts.
 const STATUSES_PER_COUNT: u32 = 3;
@@ -111,8 +111,8 @@
         return;
     }
     let now = core.now();
-    let book = core.book.borrow();
-    let Some(hall) = book.hall(&count.from) else {
+    let directory = core.book.borrow();
+    let Some(hall) = directory.hall(&count.from) else {
         return;
     };
     let mut reachability = core.reachability.borrow_mut();
@@ -130,20 +130,20 @@
 /// Returns the number of listed boxes that reach each other.
 pub(super) fn fleet_size(core: &Core) -> FleetSize {
     let now = core.now();
-    let book = core.book.borrow();
+    let directory = core.book.borrow();
     let own_hall = &core.settings.hall;
     let listed = FleetSize {
-        hall: saturating_cast(book.boxes_in(own_hall)),
-        all: saturating_cast(book.boxes()),
+        hall: saturating_cast(directory.boxes_in(own_hall)),
+        all: saturating_cast(directory.boxes()),
     };
-    if !book.is_small() {
+    if !directory.is_small() {
         return core.reachability.borrow().fleet_size(listed, now);
     }
     if now < STARTUP_PERIOD {
         return listed;
     }
     let senders = core.loads.borrow().senders(now.saturating_sub(MAX_COUNT_AGE));
-    let near = senders.iter().filter(|id| book.hall(id) == Some(own_hall));
+    let near = senders.iter().filter(|id| directory.hall(id) == Some(own_hall));
     FleetSize {
         hall: saturating_cast(near.count() + 1),
         all: saturating_cast(senders.len() + 1),
@@ -153,6 +153,6 @@
 /// Returns whether there are other data halls, and the boxes of the own one reach no box of them.
 pub fn is_hall_isolated(core: &Core) -> bool {
     let fleet = fleet_size(core);
-    let book = core.book.borrow();
-    fleet.all <= fleet.hall && book.boxes() > book.boxes_in(&core.settings.hall)
+    let directory = core.book.borrow();
+    fleet.all <= fleet.hall && directory.boxes() > directory.boxes_in(&core.settings.hall)
 }
--- a/crates/jb-relay/src/peers/register.rs
+++ b/crates/jb-relay/src/peers/register.rs
@@ -71,8 +71,8 @@
     }
 }
 
-/// Does the same in a small fleet only, right after a read of the store. In a large fleet that starts together, all boxes
-/// would otherwise ask their relay node for each other's addresses.
+/// Does the same in a small fleet only, right after a read of the store. In a large fleet that starts together, all
+/// boxes would otherwise ask their relay node for each other's addresses.
 pub fn refresh_small_directory(core: &Core) {
     let is_there = |(_, item): &(&String, &Change)| item.value.is_some();
     let boxes = address_items(&core.own.borrow())
@@ -107,6 +107,9 @@
         address: address.parse().ok()?,
         hall: hall.to_owned(),
         name: rendezvous::name_hash(id),
-        link: fields.next().and_then(|link| link.parse().ok()).unwrap_or(0),
+        link_mbps: fields
+            .next()
+            .and_then(|link_mbps| link_mbps.parse().ok())
+            .unwrap_or(0),
     })
 }
--- a/crates/jb-relay/src/peers/releases.rs
+++ b/crates/jb-relay/src/peers/releases.rs
@@ -61,10 +61,10 @@
 
 /// Returns some of the other boxes, different ones for each query.
 fn others(core: &Core, queries: u32) -> Vec<SocketAddr> {
-    let book = core.book.borrow();
+    let directory = core.book.borrow();
     let own = &core.settings.id;
-    let all: Vec<SocketAddr> = book.others(own).map(|(_, peer)| peer.address).collect();
-    let before = book
+    let all: Vec<SocketAddr> = directory.others(own).map(|(_, peer)| peer.address).collect();
+    let before = directory
         .others(own)
         .filter(|(id, _)| id.as_str() < own.as_str())
         .count();
--- a/crates/jb-relay/src/peers/reservation.rs
+++ b/crates/jb-relay/src/peers/reservation.rs
@@ -125,8 +125,8 @@
     }
 }
 
-/// Asks the owner of an engine for a reservation, which is made if `admission` allows it. Returns the engine's state, or
-/// `None` if the owner does not reply in time.
+/// Asks the owner of an engine for a reservation, which is made if `admission` allows it. Returns the engine's state,
+/// or `None` if the owner does not reply in time.
 pub async fn request(
     core: &Core,
     engine: &Instance,
@@ -194,8 +194,8 @@
     let upstreams = core.upstreams.borrow();
     let upstream = upstreams.instance(engine)?;
     let name = rendezvous::short_hash(upstream.name);
-    let book = core.book.borrow();
-    let owner = book.owner(upstream.name, &upstream.entry.hall, core.now());
+    let directory = core.book.borrow();
+    let owner = directory.owner(upstream.name, &upstream.entry.hall, core.now());
     let owner = owner.filter(|(id, _)| *id != core.settings.id);
     Some((name, owner))
 }
@@ -243,7 +243,8 @@
     let known = core.book.borrow().contains_address(from);
     if !known {
         core.metrics.strange.inc();
-        emit!(core.logger, debug, event::PEER_REFUSED, "peer" => %from, "why" => "datagram dropped: sender is not a listed box");
+        emit!(core.logger, debug, event::PEER_REFUSED, "peer" => %from,
+            "why" => "datagram dropped: sender is not a listed box");
     }
     known
 }
@@ -358,6 +359,7 @@
         }
     };
     if change == Change::Ejected {
-        emit!(core.logger, warn, event::UPSTREAM_EJECTED, "upstream" => update.engine, "why" => "requests of several boxes failed");
+        emit!(core.logger, warn, event::UPSTREAM_EJECTED, "upstream" => update.engine,
+            "why" => "requests of several boxes failed");
     }
 }
--- a/crates/jb-relay/src/peers/status.rs
+++ b/crates/jb-relay/src/peers/status.rs
@@ -1,8 +1,8 @@
 //! Publishes the load of each box, and in a small fleet the prompts that it has sent.
 //!
-//! In a small fleet each box sends its status to all others. In a large one it sends its status to the relay node of its
-//! data hall, which replies with the sum of all other boxes; relay nodes exchange the sums of their halls. This way the
-//! traffic of a box doesn't grow with the fleet.
+//! In a small fleet each box sends its status to all others. In a large one it sends its status to the relay node of
+//! its data hall, which replies with the sum of all other boxes; relay nodes exchange the sums of their halls. This
+//! way the traffic of a box doesn't grow with the fleet.
 
 mod compose;
 mod loads;
@@ -87,7 +87,8 @@
     }
 }
 
-/// Sends the status to all other boxes; returns whether it is empty. The `empty_intervals` previous ones were empty too.
+/// Sends the status to all other boxes; returns whether it is empty. The `empty_intervals` previous ones were empty
+/// too.
 async fn broadcast_status(core: &Core, socket: &UdpSocket, empty_intervals: u32) -> bool {
     let uses = std::mem::take(&mut core.loads.borrow_mut().queued_uses);
     core.notices.borrow_mut().clear_prompts();
--- a/crates/jb-relay/src/peers/status/loads.rs
+++ b/crates/jb-relay/src/peers/status/loads.rs
@@ -1,7 +1,7 @@
 //! Statuses of the other boxes, with the sums of their loads.
 //!
-//! The sums are updated by the difference between two statuses, so the cost of a status grows with the upstreams that it
-//! names, not with all known upstreams.
+//! The sums are updated by the difference between two statuses, so the cost of a status grows with the upstreams that
+//! it names, not with all known upstreams.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
--- a/crates/jb-relay/src/peers/suspicion.rs
+++ b/crates/jb-relay/src/peers/suspicion.rs
@@ -78,9 +78,9 @@
 }
 
 fn next_boxes(core: &Core) -> Vec<SocketAddr> {
-    let book = core.book.borrow();
+    let directory = core.book.borrow();
     let own = core.settings.id.as_str();
-    let (before, after): (Vec<_>, Vec<_>) = book.others(own).partition(|(id, _)| id.as_str() < own);
+    let (before, after): (Vec<_>, Vec<_>) = directory.others(own).partition(|(id, _)| id.as_str() < own);
     let next = after.into_iter().chain(before).take(BOXES_PER_BROADCAST);
     next.map(|(_, peer)| peer.address).collect()
 }
--- a/crates/jb-relay/src/peers/transfer.rs
+++ b/crates/jb-relay/src/peers/transfer.rs
@@ -32,7 +32,7 @@
 const HOLD_TIME: Duration = Duration::from_secs(4);
 /// Interval at which it checks whether it can reply.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Longest query, and max_length answer without its changes, in bytes.
+/// Longest query, and longest reply without its changes, in bytes.
 const MAX_MESSAGE_BYTES: u32 = 64;
 /// Longest changes, in bytes, both compressed and uncompressed.
 const MAX_CHANGES_BYTES: u32 = 32 << 20;
@@ -225,7 +225,8 @@
     stream.shutdown().await
 }
 
-/// Returns whether this box can reply to a query. For changes its knowledge must be recent; for a snapshot any is enough.
+/// Returns whether this box can reply to a query. For changes its knowledge must be recent; for a snapshot any is
+/// enough.
 fn can_reply(core: &Core, query: &Query) -> bool {
     match query.after {
         None => core.knows_store(),
--- a/crates/jb-relay/tests/book.rs
+++ b/crates/jb-relay/tests/book.rs
@@ -21,7 +21,7 @@
         address: SocketAddr::from(([10, 0, 0, 1], number)),
         hall: HALL.to_owned(),
         name: rendezvous::name_hash(&id),
-        link: if number % 10 < WIDE_IN_TEN { 200 } else { 20 },
+        link_mbps: if number % 10 < WIDE_IN_TEN { 200 } else { 20 },
     };
     (id, peer)
 }
@@ -40,7 +40,7 @@
         // A wide link among boxes that have gone is passed over, as long as there is another one.
         for _ in 0..(boxes / 10) {
             let relay_node = book.relay_node(HALL, Moment::ZERO).expect("a relay node").clone();
-            assert_eq!(peers[&relay_node].link, 200);
+            assert_eq!(peers[&relay_node].link_mbps, 200);
             book.mark_silent(&relay_node, Moment::ZERO);
         }
     }
@@ -69,7 +69,7 @@
 #[test]
 fn boxes_with_wide_links_hand_the_store_on() {
     let (book, peers) = book(1000);
-    let narrow = |address: &SocketAddr| peers.values().any(|p| p.address == *address && p.link == 20);
+    let narrow = |address: &SocketAddr| peers.values().any(|p| p.address == *address && p.link_mbps == 20);
     let parents = peers
         .keys()
         .filter_map(|id| book.ancestors(id, HALL).first().copied());
