--- a/crates/jb-relay/src/exchange/ask.rs
+++ b/crates/jb-relay/src/exchange/ask.rs
@@ -124,7 +124,7 @@
         }
         let asked = self.look(&near).await;
         if asked.is_empty() {
-            let held = peers::hold(self.core, own, self.place);
+            let held = peers::hold_reservation(self.core, own, self.place);
             return Looked::Chosen(Box::new(unadvised(held, own)));
         }
         Looked::At(asked)
@@ -134,7 +134,7 @@
     async fn at_home(&self, own: &Instance, others: &[Instance], family: u64, target: Duration) -> Looked {
         let ahead = account::ahead(self.tuning.prefill_tokens_per_ms, target);
         let room = Admission::QueueLimit(saturating_cast(ahead));
-        let held = peers::hold(self.core, own, self.place);
+        let held = peers::hold_reservation(self.core, own, self.place);
         let Some(view) = peers::request_reservation(self.core, own, self.place, &self.prompt, room).await
         else {
             return Looked::Chosen(Box::new(unadvised(held, own)));
@@ -188,7 +188,7 @@
                 advice: None,
             });
         }
-        let held = peers::hold(self.core, &best.instance, self.place);
+        let held = peers::hold_reservation(self.core, &best.instance, self.place);
         if let Some(view) = peers::request_reservation(
             self.core,
             &best.instance,
--- a/crates/jb-relay/src/peers/broadcast.rs
+++ b/crates/jb-relay/src/peers/broadcast.rs
@@ -66,7 +66,7 @@
     from: SocketAddr,
     forward: Forward,
 ) -> Option<Vec<u8>> {
-    if !reservation::is_known(core, from) {
+    if !reservation::is_from_listed_box(core, from) {
         return None;
     }
     let message = forward.message;
--- a/crates/jb-relay/src/peers/mod.rs
+++ b/crates/jb-relay/src/peers/mod.rs
@@ -38,8 +38,8 @@
 };
 pub use releases::discover as discover_releases;
 pub use reservation::{
-    EngineState, Outcome, Prompt, Reservation, Reservations, draw_reservation_id, expire_reservations, hold,
-    request as request_reservation,
+    EngineState, Outcome, Prompt, Reservation, Reservations, draw_reservation_id, expire_reservations,
+    hold_reservation, request as request_reservation,
 };
 pub use round_trip::RoundTrips;
 pub use socket::{bind, receive as receive_messages};
--- a/crates/jb-relay/src/peers/outbox.rs
+++ b/crates/jb-relay/src/peers/outbox.rs
@@ -23,7 +23,7 @@
 const MIN_LONG_PROMPT_TOKENS: u64 = 1500;
 
 /// Maximum number of short names in one datagram; each takes at most 5 bytes.
-const MAX_NAMES: usize = 256;
+const MAX_NAMES_PER_DATAGRAM: usize = 256;
 
 /// Announcements that wait for the next broadcast.
 #[derive(Debug, Default)]
@@ -47,7 +47,7 @@
     }
 }
 
-/// Announces a long prompt that has been sent to the other boxes of a small fleet.
+/// Announces a prompt that this box has sent to an upstream, if it is long and the fleet small.
 pub fn announce_prompt(core: &Core, upstream: &Upstream, tokens: u64) {
     if tokens < MIN_LONG_PROMPT_TOKENS || !core.book.borrow().is_small() {
         return;
@@ -119,11 +119,11 @@
             std::mem::take(&mut outbox.limits),
         )
     };
-    let replaced = replaced.chunks(MAX_NAMES).map(|names| {
+    let replaced = replaced.chunks(MAX_NAMES_PER_DATAGRAM).map(|names| {
         let upstreams = names.to_vec();
         Message::Replaced(Replaced { upstreams })
     });
-    let draining = draining.chunks(MAX_NAMES).map(|names| {
+    let draining = draining.chunks(MAX_NAMES_PER_DATAGRAM).map(|names| {
         let upstreams = names.to_vec();
         Message::Draining(Draining { upstreams })
     });
@@ -140,7 +140,7 @@
 
 /// Applies draining upstreams that another box has announced.
 pub(super) fn receive_draining(core: &Core, from: SocketAddr, draining: &Draining) {
-    if !reservation::is_known(core, from) {
+    if !reservation::is_from_listed_box(core, from) {
         return;
     }
     for instance in core.upstreams.borrow_mut().note_draining(&draining.upstreams) {
--- a/crates/jb-relay/src/peers/quota.rs
+++ b/crates/jb-relay/src/peers/quota.rs
@@ -181,7 +181,7 @@
 
 /// Decides a charge of another box and replies to it.
 pub(super) fn receive_charge(core: &Core, socket: &UdpSocket, from: SocketAddr, charge: &Charge) {
-    if super::reservation::is_known(core, from) {
+    if super::reservation::is_from_listed_box(core, from) {
         try_send(
             core,
             socket,
--- a/crates/jb-relay/src/peers/rate_limit.rs
+++ b/crates/jb-relay/src/peers/rate_limit.rs
@@ -27,7 +27,7 @@
 /// Longest time for which a box does not ask again after a denial.
 const MAX_BLOCK: Duration = Duration::from_secs(5);
 /// Maximum number of limits in one datagram; each takes at most 19 bytes.
-const MAX_PER_DATAGRAM: usize = 64;
+const MAX_LIMITS_PER_DATAGRAM: usize = 64;
 /// Number of buckets above which those of unknown instances are dropped.
 const MAX_BUCKETS: usize = 256;
 
@@ -60,7 +60,7 @@
 /// # Errors
 /// Denied for the moment; this box then doesn't send requests to the instance until a permit may be available.
 pub async fn acquire_permit(core: &Core, instance: &Instance) -> Result<Permit, Denied> {
-    let Some((name, owner, observation)) = limited(core, instance) else {
+    let Some((name, owner, observation)) = limit_of(core, instance) else {
         return Ok(Permit::Unlimited);
     };
     let mut query = Acquire {
@@ -88,7 +88,7 @@
 pub struct Denied;
 
 /// Returns the name, owner and limit of an instance that has a limit.
-fn limited(core: &Core, instance: &Instance) -> Option<(u64, Option<Owner>, rate_limit::Observation)> {
+fn limit_of(core: &Core, instance: &Instance) -> Option<(u64, Option<Owner>, rate_limit::Observation)> {
     let upstreams = core.upstreams.borrow();
     let upstream = upstreams.instance(instance)?;
     let observation = upstream.limit.observation()?;
@@ -137,10 +137,10 @@
 /// Takes a token from the bucket that this box holds for the instance.
 fn decide(core: &Core, query: &Acquire, scope: Scope) -> Reply {
     let now = core.now();
-    let observation = merged(core, query);
+    let observation = merge_queried(core, query);
     let after = observation
         .rate
-        .and_then(|rate| take(core, query.instance, rate, scope));
+        .and_then(|rate| take_token(core, query.instance, rate, scope));
     Reply {
         nonce: query.nonce,
         retry_after_ms: after.map(|after| saturating_cast(after.as_millis().max(1))),
@@ -149,7 +149,7 @@
 }
 
 /// Merges the limit that the asking box knows; returns the latest one.
-fn merged(core: &Core, query: &Acquire) -> rate_limit::Observation {
+fn merge_queried(core: &Core, query: &Acquire) -> rate_limit::Observation {
     let mut upstreams = core.upstreams.borrow_mut();
     let known = upstreams.by_short_name_mut(query.instance).and_then(|upstream| {
         merge(core, upstream, query.observation);
@@ -160,7 +160,7 @@
 }
 
 /// Takes a token from a bucket; returns the time until one is available if the bucket is empty.
-fn take(core: &Core, instance: u32, rate: rate_limit::Rate, scope: Scope) -> Option<Duration> {
+fn take_token(core: &Core, instance: u32, rate: rate_limit::Rate, scope: Scope) -> Option<Duration> {
     let now = core.now();
     let terms = rate_limit::terms(rate, scope.share(core));
     let mut buckets = core.rate_limits.buckets.borrow_mut();
@@ -191,7 +191,7 @@
 
 /// Replies to a box that asks for a permit.
 pub(super) fn receive_acquire(core: &Core, socket: &UdpSocket, from: SocketAddr, query: &Acquire) {
-    if !super::reservation::is_known(core, from) {
+    if !super::reservation::is_from_listed_box(core, from) {
         return;
     }
     let reply = decide(core, query, Scope::of_query(query.is_fallback));
@@ -220,12 +220,12 @@
             instances: limits.to_vec(),
         })
     };
-    limits.chunks(MAX_PER_DATAGRAM).map(message).collect()
+    limits.chunks(MAX_LIMITS_PER_DATAGRAM).map(message).collect()
 }
 
 /// Applies limits that another box announces.
 pub(super) fn receive_limits(core: &Core, from: SocketAddr, limits: &Limits) {
-    if !super::reservation::is_known(core, from) {
+    if !super::reservation::is_from_listed_box(core, from) {
         return;
     }
     let mut upstreams = core.upstreams.borrow_mut();
--- a/crates/jb-relay/src/peers/reachability.rs
+++ b/crates/jb-relay/src/peers/reachability.rs
@@ -107,7 +107,7 @@
 
 /// Receives the count of a relay node.
 pub(super) fn receive(core: &Core, from: SocketAddr, count: &ReachableCount) {
-    if !reservation::is_known(core, from) {
+    if !reservation::is_from_listed_box(core, from) {
         return;
     }
     let now = core.now();
--- a/crates/jb-relay/src/peers/reservation.rs
+++ b/crates/jb-relay/src/peers/reservation.rs
@@ -116,7 +116,7 @@
 }
 
 /// Returns a guard that releases a reservation at an engine when it is dropped.
-pub fn hold(core: &Shared, engine: &Instance, id: Place) -> Reservation {
+pub fn hold_reservation(core: &Shared, engine: &Instance, id: Place) -> Reservation {
     Reservation {
         core: Rc::clone(core),
         engine: engine.clone(),
@@ -148,7 +148,7 @@
         deadline_ms: saturating_cast(prompt.deadline.saturating_sub(core.now()).as_millis()),
     };
     let Some((owner_id, address)) = owner else {
-        return Some(state(answer(core, &query)?));
+        return Some(state(decide(core, &query)?));
     };
     let queries = &core.accounts.queries;
     let message = Message::Reserve(query);
@@ -223,30 +223,30 @@
 
 /// Answers a query of another box.
 pub(super) fn receive_reserve(core: &Core, socket: &UdpSocket, from: SocketAddr, query: &Reserve) {
-    if !is_known(core, from) {
+    if !is_from_listed_box(core, from) {
         return;
     }
-    if let Some(reply) = answer(core, query) {
+    if let Some(reply) = decide(core, query) {
         try_send(core, socket, from, &Message::ReserveReply(reply));
     }
 }
 
 /// Receives the progress or end of a reservation of another box.
 pub(super) fn receive_update(core: &Core, from: SocketAddr, update: &ReservationUpdate) {
-    if is_known(core, from) && apply_update(core, update) {
+    if is_from_listed_box(core, from) && apply_update(core, update) {
         apply_outcome(core, update);
     }
 }
 
 /// Returns whether a datagram comes from a listed box; otherwise counts and logs it.
-pub(super) fn is_known(core: &Core, from: SocketAddr) -> bool {
-    let known = core.book.borrow().contains_address(from);
-    if !known {
+pub(super) fn is_from_listed_box(core: &Core, from: SocketAddr) -> bool {
+    let is_listed = core.book.borrow().contains_address(from);
+    if !is_listed {
         core.metrics.strange.inc();
         emit!(core.logger, debug, event::PEER_REFUSED, "peer" => %from,
             "why" => "datagram dropped: sender is not a listed box");
     }
-    known
+    is_listed
 }
 
 /// Passes a reply to the query of this box that it belongs to.
@@ -255,7 +255,7 @@
     core.accounts.queries.deliver(key, reply);
 }
 
-fn answer(core: &Core, query: &Reserve) -> Option<ReserveReply> {
+fn decide(core: &Core, query: &Reserve) -> Option<ReserveReply> {
     let now = core.now();
     let memory = |service: &str| {
         let configuration = core.configuration()?;
--- a/crates/jb-relay/src/peers/suspicion.rs
+++ b/crates/jb-relay/src/peers/suspicion.rs
@@ -25,11 +25,11 @@
 const RESEND_INTERVAL: Duration = Duration::from_secs(1);
 /// Number of boxes that receive them each time: the next ones in the order of ids, so that each box receives them from
 /// the same number of others.
-const BOXES_PER_BROADCAST: usize = 3;
+const BOXES_PER_RESEND: usize = 3;
 /// Maximum number of requests in one datagram; a row with eight engines has 150 bytes.
-const MAX_ROWS: usize = 8;
+const MAX_ROWS_PER_DATAGRAM: usize = 8;
 /// Maximum number of datagrams to each box in one interval.
-const MAX_DATAGRAMS: usize = 4;
+const MAX_DATAGRAMS_PER_BOX: usize = 4;
 
 /// Publishes evidence for as long as the box runs.
 pub async fn publish(core: Shared, socket: Rc<UdpSocket>) {
@@ -66,7 +66,10 @@
 async fn broadcast_dangerous(core: &Core, socket: &UdpSocket) {
     let rows = core.quarantine.ledger().suspects(core.now());
     let suspects = rows.iter().map(|row| suspect(core, row, None));
-    let messages: Vec<Message> = messages(suspects).into_iter().take(MAX_DATAGRAMS).collect();
+    let messages: Vec<Message> = messages(suspects)
+        .into_iter()
+        .take(MAX_DATAGRAMS_PER_BOX)
+        .collect();
     if messages.is_empty() {
         return;
     }
@@ -81,7 +84,7 @@
     let directory = core.book.borrow();
     let own = core.settings.id.as_str();
     let (before, after): (Vec<_>, Vec<_>) = directory.others(own).partition(|(id, _)| id.as_str() < own);
-    let next = after.into_iter().chain(before).take(BOXES_PER_BROADCAST);
+    let next = after.into_iter().chain(before).take(BOXES_PER_RESEND);
     next.map(|(_, peer)| peer.address).collect()
 }
 
@@ -105,12 +108,12 @@
 fn messages(suspects: impl Iterator<Item = Suspect>) -> Vec<Message> {
     let suspects: Vec<Suspect> = suspects.collect();
     let message = |rows: &[Suspect]| Message::Suspects(Suspects { rows: rows.to_vec() });
-    suspects.chunks(MAX_ROWS).map(message).collect()
+    suspects.chunks(MAX_ROWS_PER_DATAGRAM).map(message).collect()
 }
 
 /// Receives evidence from another box.
 pub(super) fn receive(core: &Core, from: SocketAddr, suspects: &Suspects) {
-    if !reservation::is_known(core, from) {
+    if !reservation::is_from_listed_box(core, from) {
         return;
     }
     for suspect in &suspects.rows {
--- a/crates/jb-relay/src/peers/weights.rs
+++ b/crates/jb-relay/src/peers/weights.rs
@@ -18,7 +18,7 @@
 /// Time for which publications are batched: during a release, loads begin and end by tens at a time.
 const BATCH_DELAY: Duration = Duration::from_millis(15);
 /// Maximum number of engines in one datagram.
-const MAX_PER_DATAGRAM: usize = 48;
+const MAX_ENGINES_PER_DATAGRAM: usize = 48;
 
 /// Loaded weights that wait for the next broadcast.
 pub type PendingWeights = Vec<LoadedWeights>;
@@ -47,7 +47,7 @@
 async fn flush(core: Shared, socket: Rc<UdpSocket>) {
     sleep(BATCH_DELAY).await;
     let pending = core.gathered.take();
-    for weights in pending.chunks(MAX_PER_DATAGRAM) {
+    for weights in pending.chunks(MAX_ENGINES_PER_DATAGRAM) {
         let message = Message::Status(Status {
             weights: weights.to_vec(),
             ..Status::new(&core)
