--- a/crates/jb-relay/src/peers/quota.rs
+++ b/crates/jb-relay/src/peers/quota.rs
@@ -27,7 +27,7 @@
 /// share of a CPU core for the moment.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// What a box that doesn't own a customer's bucket knows of it.
+/// What this box knows of the bucket of one customer, from replies and from its own requests.
 #[derive(Clone, Copy, Debug, Default)]
 struct LocalState {
     /// Level of the bucket by the last reply.
