--- a/crates/jb-relay/src/peers/message/suspicion.rs
+++ b/crates/jb-relay/src/peers/message/suspicion.rs
@@ -14,17 +14,20 @@
 /// Evidence on one request. It is also stored as JSON, as a quarantine record.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct Suspect {
-    /// Hash of the request's content.
-    pub content: u128,
+    /// Fingerprint of the request. Stored records name this field `content`.
+    #[serde(rename = "content")]
+    pub fingerprint: u128,
     /// Time since the last evidence, in milliseconds.
     pub age_ms: u64,
-    /// Short names of the engines that crashed while they ran it.
-    pub ended: Vec<u32>,
+    /// Short names of the engines that crashed while they ran it. Stored records name this field `ended`.
+    #[serde(rename = "ended")]
+    pub crashed: Vec<u32>,
     /// Those of them where it was the only suspect. Stored records name this field `apart`.
     #[serde(rename = "apart")]
     pub isolated: Vec<u32>,
-    /// Engines that completed it.
-    pub well: Vec<u32>,
+    /// Short names of the engines that completed it. Stored records name this field `well`.
+    #[serde(rename = "well")]
+    pub completed: Vec<u32>,
     /// A trial run that the sender has begun or ended.
     pub trial: Option<Trial>,
 }
--- a/crates/jb-relay/src/peers/quarantine_record.rs
+++ b/crates/jb-relay/src/peers/quarantine_record.rs
@@ -26,15 +26,17 @@
 /// Pause between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
-fn key(content: Fingerprint) -> String {
-    format!("{KEY_PREFIX}{content}")
+fn key(fingerprint: Fingerprint) -> String {
+    format!("{KEY_PREFIX}{fingerprint}")
 }
 
 /// Returns whether a request is quarantined and the store has no record of it.
-pub(super) fn is_due(core: &Core, content: Fingerprint) -> bool {
-    let quarantined = core.quarantine.ledger().verdict(content, core.now()) == Verdict::Quarantined;
+pub(super) fn is_due(core: &Core, fingerprint: Fingerprint) -> bool {
+    let quarantined = core.quarantine.ledger().verdict(fingerprint, core.now()) == Verdict::Quarantined;
     let own = core.own.borrow();
-    let is_recorded = own.get(&key(content)).is_some_and(|item| item.value.is_some());
+    let is_recorded = own
+        .get(&key(fingerprint))
+        .is_some_and(|item| item.value.is_some());
     quarantined && !is_recorded
 }
 
@@ -44,37 +46,37 @@
     let lost = known
         .iter()
         .map(|row| row.fingerprint)
-        .filter(|content| is_due(core, *content) && owns(core, *content));
-    for content in lost {
-        spawn_local(write(Rc::clone(core), content));
+        .filter(|fingerprint| is_due(core, *fingerprint) && owns(core, *fingerprint));
+    for fingerprint in lost {
+        spawn_local(write(Rc::clone(core), fingerprint));
     }
 }
 
 /// Returns whether this box owns a record.
-fn owns(core: &Core, content: Fingerprint) -> bool {
-    let key = rendezvous::name_hash(&key(content));
+fn owns(core: &Core, fingerprint: Fingerprint) -> bool {
+    let key = rendezvous::name_hash(&key(fingerprint));
     let owner = core.book.borrow().fleet_owner(key, core.now());
     owner.is_none_or(|(id, _)| id == core.settings.id)
 }
 
 /// Writes the record of a request, unless the store already has it.
-pub(super) async fn write(core: Shared, content: Fingerprint) {
+pub(super) async fn write(core: Shared, fingerprint: Fingerprint) {
     for _ in 0..MAX_ATTEMPTS {
-        if !is_due(&core, content) {
+        if !is_due(&core, fingerprint) {
             return;
         }
-        match try_write(&core, content).await {
+        match try_write(&core, fingerprint).await {
             Ok(()) => return,
             Err(why) => {
-                emit!(core.logger, info, event::QUARANTINE_RECORD_UNWRITTEN, "content" => %content, "why" => %why)
+                emit!(core.logger, info, event::QUARANTINE_RECORD_UNWRITTEN, "content" => %fingerprint, "why" => %why)
             }
         }
         sleep(RETRY_INTERVAL).await;
     }
 }
 
-async fn try_write(core: &Core, content: Fingerprint) -> Result<(), StoreError> {
-    let Some(row) = core.quarantine.ledger().row(content) else {
+async fn try_write(core: &Core, fingerprint: Fingerprint) -> Result<(), StoreError> {
+    let Some(row) = core.quarantine.ledger().row(fingerprint) else {
         return Ok(());
     };
     let suspect = suspicion::suspect(core, &row, None);
@@ -85,7 +87,7 @@
     core.metrics.store_calls.inc_by(2);
     let lease = core.store.lease(RETENTION).await?;
     let write = Write {
-        key: key(content),
+        key: key(fingerprint),
         value: Bytes::from(value),
         expected: None,
         lease: Some(lease),
--- a/crates/jb-relay/src/peers/suspicion.rs
+++ b/crates/jb-relay/src/peers/suspicion.rs
@@ -96,11 +96,11 @@
 pub(super) fn suspect(core: &Core, row: &Row, trial: Option<Trial>) -> Suspect {
     let age = core.now().saturating_sub(row.at);
     Suspect {
-        content: row.fingerprint.0,
+        fingerprint: row.fingerprint.0,
         age_ms: u64::try_from(age.as_millis()).unwrap_or(u64::MAX),
-        ended: row.evidence.crashed().collect(),
+        crashed: row.evidence.crashed().collect(),
         isolated: row.evidence.isolated().collect(),
-        well: row.evidence.completed().collect(),
+        completed: row.evidence.completed().collect(),
         trial,
     }
 }
@@ -120,7 +120,7 @@
         receive_suspect(core, suspect);
         if let Some(trial) = suspect.trial {
             core.quarantine
-                .apply_trial(Fingerprint(suspect.content), trial, core.now());
+                .apply_trial(Fingerprint(suspect.fingerprint), trial, core.now());
         }
     }
 }
@@ -129,8 +129,8 @@
 pub(super) fn receive_suspect(core: &Core, suspect: &Suspect) {
     let age = Duration::from_millis(suspect.age_ms);
     let row = Row {
-        fingerprint: Fingerprint(suspect.content),
-        evidence: Evidence::from_parts(&suspect.ended, &suspect.isolated, &suspect.well),
+        fingerprint: Fingerprint(suspect.fingerprint),
+        evidence: Evidence::from_parts(&suspect.crashed, &suspect.isolated, &suspect.completed),
         at: core.now().saturating_sub(age),
     };
     quarantine::apply(core, &row);
