--- a/crates/jb-relay/src/follow/run.rs
+++ b/crates/jb-relay/src/follow/run.rs
@@ -117,7 +117,7 @@
             whole: update.is_snapshot,
             changes: update.changes,
             revision: update.revision,
-            proven: Some(update.proven),
+            proven: Some(update.verified_at),
         }),
         Err(why) if waits(core, progress, level, why) => Asked::Wait,
         Err(_) => Asked::Nothing,
--- a/crates/jb-relay/src/follow/start_up.rs
+++ b/crates/jb-relay/src/follow/start_up.rs
@@ -116,7 +116,7 @@
                     changes: transfer.changes,
                     whole: transfer.is_snapshot,
                     revision: transfer.revision,
-                    proven: transfer.proven,
+                    proven: transfer.verified_at,
                 });
             }
             Err(why) => {
--- a/crates/jb-relay/src/peers/message/reservation.rs
+++ b/crates/jb-relay/src/peers/message/reservation.rs
@@ -26,7 +26,7 @@
     /// Shared segments of the prompt with their tokens.
     pub shared: Vec<(u64, u32)>,
     /// Tokens of the prompt that are not shared, and tokens to generate.
-    pub own: u32,
+    pub unshared: u32,
     /// Condition under which the reservation is made.
     pub admission: Admission,
     /// Time until the deadline of the request, in milliseconds.
--- a/crates/jb-relay/src/peers/message/status.rs
+++ b/crates/jb-relay/src/peers/message/status.rs
@@ -70,7 +70,7 @@
     /// Shared segments of the prompt with their tokens.
     pub shared: Vec<(u64, u32)>,
     /// Tokens of the prompt that are not shared, and generated tokens.
-    pub own: u32,
+    pub unshared: u32,
 }
 
 /// Long prompts that a box has sent since its last status.
--- a/crates/jb-relay/src/peers/pull.rs
+++ b/crates/jb-relay/src/peers/pull.rs
@@ -110,7 +110,7 @@
     /// Revision that the store has after them.
     pub revision: Revision,
     /// Earliest time at which this was the state of the store.
-    pub proven: Moment,
+    pub verified_at: Moment,
     /// Whether the changes are all items of the store.
     pub is_snapshot: bool,
 }
@@ -208,7 +208,7 @@
                         is_snapshot: after.era < revision.era,
                         changes: all,
                         revision,
-                        proven: requested_at.saturating_sub(Duration::from_millis(reply.age_ms)),
+                        verified_at: requested_at.saturating_sub(Duration::from_millis(reply.age_ms)),
                     });
                 }
             }
@@ -236,7 +236,7 @@
     Ok(Update {
         changes: transfer.changes,
         revision: transfer.revision,
-        proven: transfer.proven.ok_or(Error::KnowsNoMore)?,
+        verified_at: transfer.verified_at.ok_or(Error::KnowsNoMore)?,
         is_snapshot: transfer.is_snapshot,
     })
 }
--- a/crates/jb-relay/src/peers/reservation.rs
+++ b/crates/jb-relay/src/peers/reservation.rs
@@ -143,7 +143,7 @@
             .iter()
             .map(|segment| (segment.id, saturating_cast(segment.tokens)))
             .collect(),
-        own: saturating_cast(prompt.own),
+        unshared: saturating_cast(prompt.own),
         admission,
         deadline_ms: saturating_cast(prompt.deadline.saturating_sub(core.now()).as_millis()),
     };
@@ -290,13 +290,15 @@
         send_to_store = family.is_some_and(|family| {
             upstream
                 .account
-                .send_due(family, u64::from(query.own) <= all / 2, now)
+                .send_due(family, u64::from(query.unshared) <= all / 2, now)
         });
-        let prefill = u64::from(query.own) + if is_stored { 0 } else { all - cached_tokens };
+        let prefill = u64::from(query.unshared) + if is_stored { 0 } else { all - cached_tokens };
         let deadline = now + Duration::from_millis(query.deadline_ms.into());
         upstream.account.take(query.id, prefill, deadline);
         upstream.health.note_sent();
-        upstream.cache.insert(shared.into_iter(), u64::from(query.own));
+        upstream
+            .cache
+            .insert(shared.into_iter(), u64::from(query.unshared));
     }
     Some(ReserveReply {
         id: query.id,
--- a/crates/jb-relay/src/peers/status.rs
+++ b/crates/jb-relay/src/peers/status.rs
@@ -67,7 +67,7 @@
         target: prompt.target,
         version: prompt.version,
         shared,
-        own: saturating_cast(prompt.own),
+        unshared: saturating_cast(prompt.own),
     });
 }
 
@@ -180,8 +180,8 @@
     for weights in &status.weights {
         weights::apply(core, weights);
     }
-    for used in &status.uses {
-        apply_use(core, used);
+    for cache_use in &status.uses {
+        apply_cache_use(core, cache_use);
     }
     if !core.book.borrow().is_small() {
         let is_own_relay_node = core.book.borrow().relay_node(&core.settings.hall, now) == Some(&status.from);
@@ -221,22 +221,22 @@
     }
 }
 
-fn apply_use(core: &Core, status: &CacheUse) {
-    let shared = status.shared.iter().map(|&(part, tokens)| Segment {
-        id: part,
+fn apply_cache_use(core: &Core, cache_use: &CacheUse) {
+    let shared = cache_use.shared.iter().map(|&(id, tokens)| Segment {
+        id,
         tokens: u64::from(tokens),
     });
-    let own = u64::from(status.own);
-    if status.version > 0 {
-        if let Some(store) = core.cache_stores.borrow_mut().by_name(status.target) {
-            store.note_store(shared, status.version, own);
+    let unshared = u64::from(cache_use.unshared);
+    if cache_use.version > 0 {
+        if let Some(store) = core.cache_stores.borrow_mut().by_name(cache_use.target) {
+            store.note_store(shared, cache_use.version, unshared);
         }
         return;
     }
     let mut upstreams = core.upstreams.borrow_mut();
-    let upstream = upstreams.by_short_name_mut(rendezvous::short_hash(status.target));
-    if let Some(upstream) = upstream.filter(|upstream| upstream.name == status.target) {
-        upstream.cache.insert(shared, own);
+    let upstream = upstreams.by_short_name_mut(rendezvous::short_hash(cache_use.target));
+    if let Some(upstream) = upstream.filter(|upstream| upstream.name == cache_use.target) {
+        upstream.cache.insert(shared, unshared);
     }
 }
 
--- a/crates/jb-relay/src/peers/transfer.rs
+++ b/crates/jb-relay/src/peers/transfer.rs
@@ -95,7 +95,7 @@
     /// Revision that the store has after them.
     pub revision: Revision,
     /// Earliest time at which this was the state of the store; `None` if it may be as old as a stale read.
-    pub proven: Option<Moment>,
+    pub verified_at: Option<Moment>,
     /// Whether the changes are all items of the store.
     pub is_snapshot: bool,
 }
@@ -122,7 +122,7 @@
     Ok(Transfer {
         changes,
         revision: header.revision,
-        proven: age.map(|age| requested_at.saturating_sub(age)),
+        verified_at: age.map(|age| requested_at.saturating_sub(age)),
         is_snapshot: header.is_snapshot,
     })
 }
@@ -262,7 +262,7 @@
         None => {
             let encoded = Snapshot {
                 revision: core.log.borrow().revision(),
-                proven: core.proven.get(),
+                verified_at: core.proven.get(),
                 encoded_at: now,
                 changes: encode(core.mirror.borrow().items())?,
             };
@@ -271,7 +271,7 @@
         }
     };
     let header = Header {
-        age_ms: snapshot.proven.map(|at| millis(now.saturating_sub(at))),
+        age_ms: snapshot.verified_at.map(|at| millis(now.saturating_sub(at))),
         revision: snapshot.revision,
         is_snapshot: true,
     };
@@ -295,7 +295,7 @@
 #[derive(Clone, Debug)]
 struct Snapshot {
     revision: Revision,
-    proven: Option<Moment>,
+    verified_at: Option<Moment>,
     encoded_at: Moment,
     changes: Bytes,
 }
