--- a/crates/jb-relay/src/exchange/account_query.rs
+++ b/crates/jb-relay/src/exchange/account_query.rs
@@ -129,7 +129,7 @@
         }
         let queried = self.query_accounts(&near).await;
         if queried.is_empty() {
-            let held = peers::hold(self.core, own, self.place);
+            let held = peers::hold_reservation(self.core, own, self.place);
             return QueryRound::Chosen(Box::new(unadvised(held, own)));
         }
         QueryRound::Candidates(queried)
@@ -145,7 +145,7 @@
     ) -> QueryRound {
         let queued_tokens = reservation::max_queued_tokens(self.tuning.prefill_tokens_per_ms, target);
         let room = Admission::QueueLimit(saturating_cast(queued_tokens));
-        let held = peers::hold(self.core, own, self.place);
+        let held = peers::hold_reservation(self.core, own, self.place);
         let Some(view) = peers::request_reservation(self.core, own, self.place, &self.prompt, room).await
         else {
             return QueryRound::Chosen(Box::new(unadvised(held, own)));
@@ -205,7 +205,7 @@
                 advice: None,
             });
         }
-        let held = peers::hold(self.core, &best.instance, self.place);
+        let held = peers::hold_reservation(self.core, &best.instance, self.place);
         if let Some(view) = peers::request_reservation(
             self.core,
             &best.instance,
--- a/crates/jb-relay/src/follow/run.rs
+++ b/crates/jb-relay/src/follow/run.rs
@@ -114,10 +114,10 @@
     match peers::pull_changes(core, socket, after, source).await {
         Ok(update) => Asked::Update(Update {
             from: UpdateOrigin::Box(source),
-            whole: update.whole,
+            whole: update.is_snapshot,
             changes: update.changes,
             revision: update.revision,
-            proven: Some(update.proven),
+            proven: Some(update.verified_at),
         }),
         Err(why) if waits(core, progress, level, why) => Asked::Wait,
         Err(_) => Asked::Nothing,
--- a/crates/jb-relay/src/follow/start_up.rs
+++ b/crates/jb-relay/src/follow/start_up.rs
@@ -114,9 +114,9 @@
                 return Attempt::Done(Update {
                     from: UpdateOrigin::Box(Source::RelayNode),
                     changes: transfer.changes,
-                    whole: transfer.whole,
+                    whole: transfer.is_snapshot,
                     revision: transfer.revision,
-                    proven: transfer.proven,
+                    proven: transfer.verified_at,
                 });
             }
             Err(why) => {
--- a/crates/jb-relay/src/peers/message/datagram.rs
+++ b/crates/jb-relay/src/peers/message/datagram.rs
@@ -1,56 +1,57 @@
-//! One datagram.
+//! The datagram that boxes exchange.
 
 use serde::{Deserialize, Serialize};
 
 use super::{
-    Acquire, Advice, Ask, AskMore, AskReleases, Charge, Count, Draining, Forward, Grant, Limits, News,
-    Permit, Question, Releases, Replaced, Returned, Sent, Status, Suspects,
+    Acquire, Charge, ChargeReply, Draining, Forward, Limits, LongPrompts, Permit, Pull, PullMore, PullReply,
+    QueryReleases, ReachableCount, Releases, Replaced, ReservationUpdate, Reserve, ReserveReply, Status,
+    Suspects,
 };
 
-/// Longest datagram, in bytes: one packet.
-pub(in crate::peers) const LONGEST: usize = 1400;
+/// Longest datagram, in bytes: it fits into one packet.
+pub(in crate::peers) const MAX_DATAGRAM_BYTES: usize = 1400;
 
-/// One datagram. New kinds come last: boxes of the version before refuse them and read the others.
+/// A datagram. New kinds are appended: boxes of the previous version reject them and still read the others.
 #[derive(Debug, Serialize, Deserialize)]
 pub(in crate::peers) enum Message {
-    /// Loads, prompts and weights.
+    /// Loads, cache uses and loaded weights of a box.
     Status(Status),
-    /// A box asks for what has changed in the store.
-    Ask(Ask),
-    /// What has changed.
-    News(News),
-    /// Long prompts that a box has just sent.
-    Sent(Sent),
-    /// Incarnations of upstreams whose addresses others have now.
+    /// Requests the changes of the store after a revision.
+    Pull(Pull),
+    /// Answers [`Pull`] and [`PullMore`].
+    PullReply(PullReply),
+    /// Announces long prompts that a box has just sent.
+    LongPrompts(LongPrompts),
+    /// Announces incarnations of upstreams whose addresses are now used by others.
     Replaced(Replaced),
-    /// A box that has just started asks when weights were named.
-    AskReleases(AskReleases),
-    /// When they were.
+    /// Asks, on behalf of a box that has just started, when weights were released.
+    QueryReleases(QueryReleases),
+    /// Answers [`QueryReleases`].
     Releases(Releases),
-    /// A box asks the account of an engine for a place.
-    Question(Question),
-    /// Answer of the account.
-    Advice(Advice),
-    /// The first token of a prompt has come, or its place is given back.
-    Returned(Returned),
-    /// Count of the boxes that a relay node reaches.
-    Heard(Count),
-    /// A request asks the account of its customer.
+    /// Asks the owner of an engine for a reservation.
+    Reserve(Reserve),
+    /// Answers [`Reserve`].
+    ReserveReply(ReserveReply),
+    /// Reports the first token of a prompt, or ends its reservation.
+    ReservationUpdate(ReservationUpdate),
+    /// Number of boxes that a relay node reaches.
+    ReachableCount(ReachableCount),
+    /// Charges a request to the quota of its customer.
     Charge(Charge),
-    /// Answer of the account.
-    Grant(Grant),
-    /// A box asks for more of what has changed in the store.
-    AskMore(AskMore),
+    /// Answers [`Charge`].
+    ChargeReply(ChargeReply),
+    /// Requests the changes that did not fit into the previous [`PullReply`].
+    PullMore(PullMore),
     /// Evidence on poison requests.
     Suspects(Suspects),
-    /// Instances that have signalled that they drain.
+    /// Announces instances that have signalled that they are draining.
     Draining(Draining),
-    /// Rate limits of instances have begun or ended.
+    /// Announces rate limits of instances that have begun or ended.
     Limits(Limits),
-    /// A box asks the owner of a rate limit for a permit.
+    /// Asks the owner of a rate limit for a permit.
     Acquire(Acquire),
-    /// The owner's answer.
+    /// Answers [`Acquire`].
     Permit(Permit),
-    /// A message that is to be handed on.
+    /// A message that the receiver forwards to other boxes.
     Forward(Forward),
 }
--- a/crates/jb-relay/src/peers/mod.rs
+++ b/crates/jb-relay/src/peers/mod.rs
@@ -1,16 +1,16 @@
-//! Messages between boxes, in datagrams that may be lost without harm: status, loading of weights, rate
-//! limits, evidence on poison requests, and changes of the store. What is too long for datagrams is transferred over
-//! connections.
+//! Communication between boxes: status, reservations, quotas, rate limits, loaded weights, evidence on poison requests,
+//! and changes of the store. Messages are datagrams whose loss does no harm; data that is too long for datagrams is
+//! transferred over connections.
 
 mod broadcast;
 mod change_log;
 mod directory;
-mod inquiry;
 mod message;
 mod outbox;
 mod owner;
 mod pull;
 mod quarantine_record;
+mod query;
 mod quota;
 mod rate_limit;
 mod reachability;
@@ -38,8 +38,8 @@
 };
 pub use releases::discover as discover_releases;
 pub use reservation::{
-    EngineState, Outcome, Prompt, Reservation, Reservations, draw_reservation_id, expire_reservations, hold,
-    request as request_reservation,
+    EngineState, Outcome, Prompt, Reservation, Reservations, draw_reservation_id, expire_reservations,
+    hold_reservation, request as request_reservation,
 };
 pub use round_trip::RoundTrips;
 pub use socket::{bind, receive as receive_messages};
--- a/crates/jb-relay/src/peers/quarantine_record.rs
+++ b/crates/jb-relay/src/peers/quarantine_record.rs
@@ -1,8 +1,8 @@
-//! Quarantine records in the store, for boxes that start when no other box is left: without them each
-//! restart of the whole fleet would cost three engines more.
+//! Quarantine records in the store, for boxes that start when no other box is running: without them each restart of the
+//! whole fleet would crash three more engines.
 //!
-//! A record has a lease as long as the quarantine. It is written once, by the box that observed the last
-//! crash. After a restore of the store from a copy that lacks it, its owner writes it again.
+//! A record has a lease as long as the quarantine. It is written once, by the box that observed the last crash. If the
+//! store is restored from a backup that lacks the record, the record's owner writes it again.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,73 +19,75 @@
 use crate::core::{Core, Shared};
 use crate::port::{Change, StoreError, Write};
 
-/// Start of the records' keys; the rest is the request's hash.
-const KEYS: &str = "junctionbend/poison/";
-/// Attempts to write a record.
-const TRIES: u32 = 5;
-/// Pause between two of them.
-const AGAIN: Duration = Duration::from_secs(2);
+/// Prefix of the records' keys; the rest is the hash of the request.
+const KEY_PREFIX: &str = "junctionbend/poison/";
+/// Number of attempts to write a record.
+const MAX_ATTEMPTS: u32 = 5;
+/// Pause between two attempts.
+const RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
-fn key(content: Fingerprint) -> String {
-    format!("{KEYS}{content}")
+fn key(fingerprint: Fingerprint) -> String {
+    format!("{KEY_PREFIX}{fingerprint}")
 }
 
-/// Whether a request is quarantined and the store has no record of it.
-pub(super) fn is_due(core: &Core, content: Fingerprint) -> bool {
-    let quarantined = core.quarantine.ledger().verdict(content, core.now()) == Verdict::Quarantined;
+/// Returns whether a request is quarantined and the store has no record of it.
+pub(super) fn is_due(core: &Core, fingerprint: Fingerprint) -> bool {
+    let quarantined = core.quarantine.ledger().verdict(fingerprint, core.now()) == Verdict::Quarantined;
     let own = core.box_items.borrow();
-    let is_there = own.get(&key(content)).is_some_and(|item| item.value.is_some());
-    quarantined && !is_there
+    let is_recorded = own
+        .get(&key(fingerprint))
+        .is_some_and(|item| item.value.is_some());
+    quarantined && !is_recorded
 }
 
-/// Writes the records again that a restored store lacks and this box owns.
-pub(super) fn write_lost(core: &Shared) {
+/// Writes the records that a restored store lacks and this box owns.
+pub(super) fn rewrite_lost(core: &Shared) {
     let known = core.quarantine.ledger().suspects(core.now());
     let lost = known
         .iter()
         .map(|row| row.fingerprint)
-        .filter(|content| is_due(core, *content) && owns(core, *content));
-    for content in lost {
-        spawn_local(write(Rc::clone(core), content));
+        .filter(|fingerprint| is_due(core, *fingerprint) && owns(core, *fingerprint));
+    for fingerprint in lost {
+        spawn_local(write(Rc::clone(core), fingerprint));
     }
 }
 
-/// Whether this box is the one of the fleet that owns a record.
-fn owns(core: &Core, content: Fingerprint) -> bool {
-    let key = rendezvous::name_hash(&key(content));
+/// Returns whether this box owns a record.
+fn owns(core: &Core, fingerprint: Fingerprint) -> bool {
+    let key = rendezvous::name_hash(&key(fingerprint));
     let owner = core.book.borrow().fleet_owner(key, core.now());
     owner.is_none_or(|(id, _)| id == core.settings.id)
 }
 
-/// Writes the mark of a request.
-pub(super) async fn write(core: Shared, content: Fingerprint) {
-    for _ in 0..TRIES {
-        if !is_due(&core, content) {
+/// Writes the record of a request, unless the store already has it.
+pub(super) async fn write(core: Shared, fingerprint: Fingerprint) {
+    for _ in 0..MAX_ATTEMPTS {
+        if !is_due(&core, fingerprint) {
             return;
         }
-        match try_write(&core, content).await {
+        match try_write(&core, fingerprint).await {
             Ok(()) => return,
             Err(why) => {
-                emit!(core.logger, info, event::QUARANTINE_RECORD_UNWRITTEN, "content" => %content, "why" => %why)
+                emit!(core.logger, info, event::QUARANTINE_RECORD_UNWRITTEN, "content" => %fingerprint, "why" => %why)
             }
         }
-        sleep(AGAIN).await;
+        sleep(RETRY_INTERVAL).await;
     }
 }
 
-async fn try_write(core: &Core, content: Fingerprint) -> Result<(), StoreError> {
-    let Some(row) = core.quarantine.ledger().row(content) else {
+async fn try_write(core: &Core, fingerprint: Fingerprint) -> Result<(), StoreError> {
+    let Some(row) = core.quarantine.ledger().row(fingerprint) else {
         return Ok(());
     };
-    let received = suspicion::suspect(core, &row, None);
-    let Ok(value) = serde_json::to_vec(&received) else {
-        // Numbers and lists of numbers always have a form as text.
+    let suspect = suspicion::suspect(core, &row, None);
+    let Ok(value) = serde_json::to_vec(&suspect) else {
+        // Numbers and lists of numbers can always be serialised.
         return Ok(());
     };
     core.metrics.store_calls.inc_by(2);
     let lease = core.store.grant_lease(RETENTION).await?;
     let write = Write {
-        key: key(content),
+        key: key(fingerprint),
         value: Bytes::from(value),
         expected: None,
         lease: Some(lease),
@@ -93,13 +95,13 @@
     core.store.write(lease.era, &[write]).await.map(drop)
 }
 
-/// Takes an item of the store, if it is a mark.
+/// Applies an item of the store if it is a quarantine record.
 pub fn apply_record(core: &Core, item: &Change) {
-    let Some(value) = item.value.as_deref().filter(|_| item.key.starts_with(KEYS)) else {
+    let Some(value) = item.value.as_deref().filter(|_| item.key.starts_with(KEY_PREFIX)) else {
         return;
     };
     match serde_json::from_slice::<Suspect>(value) {
-        Ok(received) => suspicion::receive_suspect(core, &received),
+        Ok(suspect) => suspicion::receive_suspect(core, &suspect),
         Err(why) => {
             emit!(core.logger, warn, event::STORE_UNREADABLE, "key" => &item.key, "why" => %why);
         }
--- a/crates/jb-relay/src/peers/suspicion.rs
+++ b/crates/jb-relay/src/peers/suspicion.rs
@@ -1,8 +1,8 @@
 //! Exchanges evidence on poison requests between boxes.
 //!
-//! New evidence goes to all boxes at once, as callers retry such a request at any of them. What is still
-//! suspected is sent again to a few boxes from time to time, for those that lost the datagram, have started
-//! since, or were partitioned.
+//! New evidence is broadcast immediately, because callers retry such a request at any box. Requests that are still
+//! suspected are sent again to a few boxes at intervals, for boxes that lost the datagram, have started since, or were
+//! partitioned.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,18 +22,18 @@
 use crate::quarantine::{self, EvidenceUpdate, Trial};
 
 /// Interval at which suspected requests are sent again.
-const PERIOD: Duration = Duration::from_secs(1);
-/// Boxes that receive them each time: the next ones in the order of their ids, so that each box receives them
-/// from as many others.
-const BOXES_PER_BROADCAST: usize = 3;
-/// Requests in one datagram; a row with eight engines has 150 bytes.
-const MAX_ROWS: usize = 8;
-/// Datagrams to each box in one interval.
-const MAX_DATAGRAMS: usize = 4;
+const RESEND_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of boxes that receive them each time: the next ones in the order of ids, so that each box receives them from
+/// the same number of others.
+const BOXES_PER_RESEND: usize = 3;
+/// Maximum number of requests in one datagram; a row with eight engines has 150 bytes.
+const MAX_ROWS_PER_DATAGRAM: usize = 8;
+/// Maximum number of datagrams to each box in one interval.
+const MAX_DATAGRAMS_PER_BOX: usize = 4;
 
 /// Publishes evidence for as long as the box runs.
 pub async fn publish(core: Shared, socket: Rc<UdpSocket>) {
-    let mut due = core.now() + PERIOD;
+    let mut due = core.now() + RESEND_INTERVAL;
     let mut restored = core.last_restore.get().map(|restore| restore.noticed_at);
     loop {
         let left = due.saturating_sub(core.now());
@@ -50,11 +50,11 @@
             }
             continue;
         }
-        due = core.now() + PERIOD;
+        due = core.now() + RESEND_INTERVAL;
         let noticed = core.last_restore.get().map(|restore| restore.noticed_at);
         if noticed != restored {
             restored = noticed;
-            quarantine_record::write_lost(&core);
+            quarantine_record::rewrite_lost(&core);
         }
         if !core.quarantine.is_empty() {
             core.quarantine.expire(core.now());
@@ -66,7 +66,10 @@
 async fn broadcast_dangerous(core: &Core, socket: &UdpSocket) {
     let rows = core.quarantine.ledger().suspects(core.now());
     let suspects = rows.iter().map(|row| suspect(core, row, None));
-    let messages: Vec<Message> = messages(suspects).into_iter().take(MAX_DATAGRAMS).collect();
+    let messages: Vec<Message> = messages(suspects)
+        .into_iter()
+        .take(MAX_DATAGRAMS_PER_BOX)
+        .collect();
     if messages.is_empty() {
         return;
     }
@@ -78,10 +81,10 @@
 }
 
 fn next_boxes(core: &Core) -> Vec<SocketAddr> {
-    let book = core.book.borrow();
+    let directory = core.book.borrow();
     let own = core.settings.id.as_str();
-    let (before, after): (Vec<_>, Vec<_>) = book.others(own).partition(|(id, _)| id.as_str() < own);
-    let next = after.into_iter().chain(before).take(BOXES_PER_BROADCAST);
+    let (before, after): (Vec<_>, Vec<_>) = directory.others(own).partition(|(id, _)| id.as_str() < own);
+    let next = after.into_iter().chain(before).take(BOXES_PER_RESEND);
     next.map(|(_, peer)| peer.address).collect()
 }
 
@@ -93,11 +96,11 @@
 pub(super) fn suspect(core: &Core, row: &Row, trial: Option<Trial>) -> Suspect {
     let age = core.now().saturating_sub(row.at);
     Suspect {
-        content: row.fingerprint.0,
+        fingerprint: row.fingerprint.0,
         age_ms: u64::try_from(age.as_millis()).unwrap_or(u64::MAX),
-        ended: row.evidence.crashed().collect(),
+        crashed: row.evidence.crashed().collect(),
         isolated: row.evidence.isolated().collect(),
-        well: row.evidence.completed().collect(),
+        completed: row.evidence.completed().collect(),
         trial,
     }
 }
@@ -105,19 +108,19 @@
 fn messages(suspects: impl Iterator<Item = Suspect>) -> Vec<Message> {
     let suspects: Vec<Suspect> = suspects.collect();
     let message = |rows: &[Suspect]| Message::Suspects(Suspects { rows: rows.to_vec() });
-    suspects.chunks(MAX_ROWS).map(message).collect()
+    suspects.chunks(MAX_ROWS_PER_DATAGRAM).map(message).collect()
 }
 
 /// Receives evidence from another box.
 pub(super) fn receive(core: &Core, from: SocketAddr, suspects: &Suspects) {
-    if !reservation::is_known(core, from) {
+    if !reservation::is_from_listed_box(core, from) {
         return;
     }
     for suspect in &suspects.rows {
         receive_suspect(core, suspect);
         if let Some(trial) = suspect.trial {
             core.quarantine
-                .apply_trial(Fingerprint(suspect.content), trial, core.now());
+                .apply_trial(Fingerprint(suspect.fingerprint), trial, core.now());
         }
     }
 }
@@ -126,8 +129,8 @@
 pub(super) fn receive_suspect(core: &Core, suspect: &Suspect) {
     let age = Duration::from_millis(suspect.age_ms);
     let row = Row {
-        fingerprint: Fingerprint(suspect.content),
-        evidence: Evidence::from_parts(&suspect.ended, &suspect.isolated, &suspect.well),
+        fingerprint: Fingerprint(suspect.fingerprint),
+        evidence: Evidence::from_parts(&suspect.crashed, &suspect.isolated, &suspect.completed),
         at: core.now().saturating_sub(age),
     };
     quarantine::apply_evidence(core, &row);
