--- a/crates/jb-daemon/src/admin/status.rs
+++ b/crates/jb-daemon/src/admin/status.rs
@@ -30,7 +30,7 @@
     let services = summaries.into_iter().map(|s| ServiceStatus {
         service: s.service,
         usable: s.usable,
-        leaving: s.leaving,
+        leaving: s.draining,
         wait_ms: s.summary.wait_ms,
     });
     json(&Status {
--- a/crates/jb-daemon/src/decide/message.rs
+++ b/crates/jb-daemon/src/decide/message.rs
@@ -1,4 +1,4 @@
-//! Messages to the thread that decides.
+//! Messages to the decision thread.
 
 use std::sync::Arc;
 
@@ -13,66 +13,66 @@
 use jb_tree::view::View;
 use tokio::sync::oneshot;
 
-/// Asks whether a customer's limits admit a request.
+/// A check of a request against the limits of its customer.
 pub struct Admission {
-    /// Customer.
+    /// Customer that sent the request.
     pub customer: id::Customer,
-    /// Tokens of prompt and answer.
+    /// Prompt tokens plus the most tokens that may be generated.
     pub tokens: u32,
-    /// Where to answer.
+    /// Channel for the result.
     pub reply: oneshot::Sender<Result<Admitted, Exceeded>>,
 }
 
-/// Asks for an upstream.
-pub struct Choosing {
+/// Selects an upstream for an attempt.
+pub struct Selection {
     /// Service.
     pub service: id::Service,
-    /// The request.
-    pub ask: Query,
-    /// Whether this is a retry, to be taken from the budget.
+    /// Placement query of the request.
+    pub query: Query,
+    /// Whether this is a retry, which is charged to the retry budget.
     pub retry: bool,
-    /// Where to answer.
+    /// Channel for the result.
     pub reply: oneshot::Sender<Result<Choice, Rejection>>,
 }
 
-/// Asks how the upstreams weigh, for operators.
+/// Requests the placement scores of the upstreams, for operators.
 pub struct Explanation {
     /// Service.
     pub service: id::Service,
-    /// The request.
-    pub ask: Query,
-    /// Where to answer.
+    /// Placement query of the request.
+    pub query: Query,
+    /// Channel for the result.
     pub reply: oneshot::Sender<Weighing>,
 }
 
-/// Tells how an answer started.
+/// Reports the start of a response stream.
 pub struct Started {
     /// Service.
     pub service: id::Service,
     /// Upstream.
     pub upstream: id::Upstream,
-    /// The request.
-    pub ask: Arc<Query>,
-    /// The start.
+    /// Placement query of the request.
+    pub query: Arc<Query>,
+    /// Start frame of the stream.
     pub start: Start,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Well.
+    /// The response was complete.
     Succeeded,
-    /// Through the upstream's fault.
+    /// The upstream failed; this counts against its health.
     Failed,
-    /// For another reason, which shows nothing about the upstream.
+    /// The attempt ended for another reason, which says nothing about the upstream's health.
     Abandoned,
-    /// The upstream denied it, for having other weights or for leaving.
+    /// The upstream declined the attempt because it has other weights or is draining.
     Denied,
 }
 
-/// Tells that something counted has ended.
+/// The end of an attempt or request that is counted as in flight.
 pub enum Ending {
-    /// An attempt.
+    /// An attempt at an upstream.
     Attempt {
         /// Service.
         service: id::Service,
@@ -81,30 +81,30 @@
         /// How it ended.
         outcome: Outcome,
     },
-    /// An admitted request.
+    /// A request that was admitted.
     Request {
         /// Customer.
         customer: id::Customer,
-        /// Tokens to give back, for a request that did not run.
+        /// Tokens to credit to the customer because the request did not run.
         refund: u32,
     },
 }
 
-/// Any message to the thread that decides.
+/// Any message to the decision thread.
 pub enum Message {
     /// See [`Admission`].
     Admit(Admission),
-    /// See [`Choosing`].
-    Choose(Choosing),
+    /// See [`Selection`].
+    Choose(Selection),
     /// See [`Explanation`].
     Explain(Explanation),
     /// See [`Started`].
     Started(Started),
     /// See [`Ending`].
     Ended(Ending),
-    /// A newer tree is in force.
+    /// Applies a new revision of the configuration tree.
     Configure(Arc<View>),
-    /// A report of an engine.
+    /// A load report from an engine.
     Report {
         /// Service.
         service: id::Service,
@@ -113,7 +113,7 @@
         /// The report.
         report: Report,
     },
-    /// Signals of an upstream's response.
+    /// Signals in the headers of an upstream's response.
     Signals {
         /// Service.
         service: id::Service,
@@ -121,14 +121,14 @@
         upstream: id::Upstream,
         /// Signals.
         signals: Signals,
-        /// Permit of the request that it answers.
+        /// Permit under which the request was sent.
         permit: Permit,
     },
-    /// Upstreams that the box list shows as leaving.
-    Leaving(Vec<id::Upstream>),
-    /// Boxes that share the hall's callers.
+    /// Replaces the set of upstreams that the box list shows as draining.
+    Draining(Vec<id::Upstream>),
+    /// Number of boxes among which the hall's callers are spread.
     Boxes(u32),
-    /// Asks for the own hall's state of every service.
+    /// Requests the state of every service in the own hall.
     Summarize(oneshot::Sender<Vec<ServiceSummary>>),
 }
 
@@ -137,10 +137,10 @@
 pub struct ServiceSummary {
     /// Service.
     pub service: id::Service,
-    /// Its state.
+    /// Summary that is exchanged between halls.
     pub summary: Summary,
-    /// Upstreams that can take work.
+    /// Number of upstreams that can accept requests.
     pub usable: u32,
-    /// Upstreams that leave.
-    pub leaving: Vec<id::Upstream>,
+    /// Upstreams that are draining.
+    pub draining: Vec<id::Upstream>,
 }
--- a/crates/jb-daemon/src/decide/mod.rs
+++ b/crates/jb-daemon/src/decide/mod.rs
@@ -1,9 +1,9 @@
-//! The thread that owns the decisions, and the ring that leads to it.
+//! The decision thread and the bounded queue (the ring) in front of it.
 
 mod message;
 mod ring;
 mod worker;
 
-pub use message::{Admission, Choosing, Ending, Explanation, Message, Outcome, ServiceSummary, Started};
+pub use message::{Admission, Ending, Explanation, Message, Outcome, Selection, ServiceSummary, Started};
 pub use ring::{Ring, Ticket};
 pub use worker::start;
--- a/crates/jb-daemon/src/decide/ring.rs
+++ b/crates/jb-daemon/src/decide/ring.rs
@@ -1,4 +1,4 @@
-//! The bounded ring to the thread that decides.
+//! The bounded queue of messages to the decision thread.
 
 use jb_policy::customer_limit::{Admitted, Exceeded};
 use jb_policy::rate_limit::Announcement;
@@ -7,35 +7,35 @@
 use jb_protocol::admin::Weighing;
 use tokio::sync::{mpsc, oneshot};
 
-use super::message::{Admission, Choosing, Ending, Explanation, Message, Outcome, ServiceSummary};
+use super::message::{Admission, Ending, Explanation, Message, Outcome, Selection, ServiceSummary};
 
-/// The ring is full, or its thread has ended.
+/// The queue is full, or the decision thread has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the ring of the decisions is full")]
 pub struct Full;
 
-/// Sending end of the ring.
+/// Sending end of the queue.
 #[derive(Clone)]
 pub struct Ring {
     sender: mpsc::Sender<Message>,
 }
 
-/// A place in the ring that was taken beforehand, so that the ending of what
-/// it counts is never lost. Dropping it sends the ending.
+/// A queue slot reserved in advance, so that the end of the counted attempt or
+/// request is reported even when the queue is full. Dropping it sends the end.
 pub struct Ticket {
     permit: Option<mpsc::OwnedPermit<Message>>,
     ending: Option<Ending>,
 }
 
 impl Ticket {
-    /// Sets how the attempt ended; without it, it counts as abandoned.
+    /// Ends the attempt with an outcome; without this call it counts as abandoned.
     pub fn end(mut self, result: Outcome) {
         if let Some(Ending::Attempt { outcome, .. }) = &mut self.ending {
             *outcome = result;
         }
     }
 
-    /// Sets that the request did not run, so its tokens are given back.
+    /// Marks the request as not run, so that its tokens are credited back when the ticket is dropped.
     pub fn refund(&mut self, tokens: u32) {
         if let Some(Ending::Request { refund, .. }) = &mut self.ending {
             *refund = tokens;
@@ -52,20 +52,20 @@
 }
 
 impl Ring {
-    /// Wraps the sending end.
+    /// Wraps the sender of the queue.
     pub fn new(sender: mpsc::Sender<Message>) -> Self {
         Self { sender }
     }
 
-    /// Messages waiting or places taken.
+    /// Returns the number of slots in use: waiting messages and reserved slots.
     pub fn depth(&self) -> usize {
         self.sender.max_capacity() - self.sender.capacity()
     }
 
-    /// Asks whether a customer's limits admit a request.
+    /// Checks a request against its customer's limits; the ticket counts it as in flight.
     ///
     /// # Errors
-    /// [`Full`], or in the inner result the limit exceeded.
+    /// [`Full`], or in the inner result the limit that was exceeded.
     pub async fn admit(
         &self,
         customer: &str,
@@ -92,21 +92,21 @@
         }))
     }
 
-    /// Asks for an upstream; the ticket counts the attempt there.
+    /// Selects an upstream; the ticket counts the attempt there as in flight.
     ///
     /// # Errors
-    /// [`Full`], or in the inner result why there is no upstream.
+    /// [`Full`], or in the inner result the reason why no upstream is available.
     pub async fn choose(
         &self,
         service: &str,
-        ask: &Query,
+        query: &Query,
         retry: bool,
     ) -> Result<Result<(Choice, Ticket), Rejection>, Full> {
         let permit = self.reserve()?;
         let (reply, answer) = oneshot::channel();
-        self.send(Message::Choose(Choosing {
+        self.send(Message::Choose(Selection {
             service: service.to_owned(),
-            ask: ask.clone(),
+            query: query.clone(),
             retry,
             reply,
         }))?;
@@ -125,21 +125,21 @@
         }))
     }
 
-    /// Asks how the upstreams weigh.
+    /// Returns the placement scores of the upstreams.
     ///
     /// # Errors
     /// [`Full`].
-    pub async fn explain(&self, service: &str, ask: &Query) -> Result<Weighing, Full> {
+    pub async fn explain(&self, service: &str, query: &Query) -> Result<Weighing, Full> {
         let (reply, answer) = oneshot::channel();
         self.send(Message::Explain(Explanation {
             service: service.to_owned(),
-            ask: ask.clone(),
+            query: query.clone(),
             reply,
         }))?;
         answer.await.map_err(|_| Full)
     }
 
-    /// Asks for the own hall's state of every service.
+    /// Returns the state of every service in the own hall.
     ///
     /// # Errors
     /// [`Full`].
@@ -149,21 +149,21 @@
         answer.await.map_err(|_| Full)
     }
 
-    /// Sends a message that may be dropped when the ring is full.
+    /// Sends a message that may be dropped when the queue is full.
     ///
     /// # Errors
-    /// [`Full`], for counting.
+    /// [`Full`]; callers count it or pass it on.
     pub fn send(&self, message: Message) -> Result<(), Full> {
         self.sender.try_send(message).map_err(|_| Full)
     }
 
-    /// Applies the signals of an upstream's response, if there are any. Where the upstream was limited, a
-    /// response without a limit ends it.
+    /// Forwards the signals of an upstream's response, if there are any. A response without a rate limit
+    /// is forwarded too if the upstream was limited, because it lifts the limit.
     pub async fn apply_signals(&self, service: &str, upstream: &str, signals: Signals, permit: Permit) {
         let limited = permit.is_limited || matches!(signals.limit, Announcement::Limited(_));
         if signals.draining || signals.retry_after.is_some() || limited {
             let (service, upstream) = (service.to_owned(), upstream.to_owned());
-            self.send_surely(Message::Signals {
+            self.send_reliable(Message::Signals {
                 service,
                 upstream,
                 signals,
@@ -173,9 +173,9 @@
         }
     }
 
-    /// Sends a message that must arrive, waiting for a place.
-    pub async fn send_surely(&self, message: Message) {
-        // The thread ends with the process, so a failure needs no answer.
+    /// Sends a message that must not be dropped, waiting for a free slot.
+    pub async fn send_reliable(&self, message: Message) {
+        // The decision thread lives as long as the process, so sending fails only at shutdown.
         let _ = self.sender.send(message).await;
     }
 
--- a/crates/jb-daemon/src/decide/worker.rs
+++ b/crates/jb-daemon/src/decide/worker.rs
@@ -1,4 +1,4 @@
-//! The thread that decides: it owns all state of the decisions.
+//! The decision thread, the only owner of the placement and limit state.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use slog::Logger;
 use tokio::sync::mpsc;
 
-use super::message::{Admission, Choosing, Ending, Explanation, Message, Outcome, ServiceSummary, Started};
+use super::message::{Admission, Ending, Explanation, Message, Outcome, Selection, ServiceSummary, Started};
 use super::ring::Ring;
 use crate::emit;
 
@@ -29,15 +29,15 @@
     pools: BTreeMap<id::Service, Pool>,
     limits: Limits,
     boxes: u32,
-    /// Phase of the buckets of this box, 0 to 1.
+    /// Phase of this box's token buckets, from 0 to 1.
     phase: f64,
-    leaving: Vec<id::Upstream>,
+    draining: Vec<id::Upstream>,
 }
 
-/// Starts the thread of the box `id` and gives the ring that leads to it.
+/// Starts the decision thread of box `id` and returns the queue in front of it.
 ///
 /// # Errors
-/// When the system gives no thread.
+/// When the thread cannot be spawned.
 pub fn start(id: &str, hall: &str, capacity: usize, clock: Clock, logger: Logger) -> std::io::Result<Ring> {
     let (sender, receiver) = mpsc::channel(capacity);
     let worker = Worker {
@@ -49,26 +49,26 @@
         limits: Limits::default(),
         boxes: 1,
         phase: rendezvous::fraction(rendezvous::name_hash(id)),
-        leaving: Vec::new(),
+        draining: Vec::new(),
     };
     thread::Builder::new()
         .name("decide".to_owned())
-        .spawn(move || worker.work(receiver))?;
+        .spawn(move || worker.run(receiver))?;
     Ok(Ring::new(sender))
 }
 
 impl Worker {
-    fn work(mut self, mut receiver: mpsc::Receiver<Message>) {
+    fn run(mut self, mut receiver: mpsc::Receiver<Message>) {
         while let Some(message) = receiver.blocking_recv() {
-            self.take(message);
+            self.handle(message);
         }
     }
 
-    // An asker that has gone away needs no answer, so failed replies are ignored.
-    fn take(&mut self, message: Message) {
+    // A failed reply means that the requester has gone away, so it is ignored.
+    fn handle(&mut self, message: Message) {
         match message {
             Message::Admit(admission) => self.admit(admission),
-            Message::Choose(choosing) => self.choose(choosing),
+            Message::Choose(selection) => self.choose(selection),
             Message::Explain(explanation) => self.explain(explanation),
             Message::Started(started) => self.started(&started),
             Message::Ended(ending) => self.ended(&ending),
@@ -84,7 +84,7 @@
                 signals,
                 permit,
             } => self.apply_signals(&service, &upstream, signals, permit),
-            Message::Leaving(upstreams) => self.note_leaving(upstreams),
+            Message::Draining(upstreams) => self.set_draining(upstreams),
             Message::Boxes(boxes) => self.set_boxes(boxes),
             Message::Summarize(reply) => {
                 let _ = reply.send(self.summarize());
@@ -108,17 +108,17 @@
         }
     }
 
-    fn choose(&mut self, choosing: Choosing) {
+    fn choose(&mut self, selection: Selection) {
         let now = self.clock.now();
-        let result = match self.pools.get_mut(&choosing.service) {
-            Some(pool) => choose_in(pool, &choosing, self.boxes, now),
+        let result = match self.pools.get_mut(&selection.service) {
+            Some(pool) => choose_from(pool, &selection, self.boxes, now),
             None => Err(Rejection {
                 kind: Kind::NoUpstream,
                 retry_after: std::time::Duration::from_secs(2),
             }),
         };
-        if let Err(Ok(choice)) = choosing.reply.send(result)
-            && let Some(pool) = self.pools.get_mut(&choosing.service)
+        if let Err(Ok(choice)) = selection.reply.send(result)
+            && let Some(pool) = self.pools.get_mut(&selection.service)
         {
             pool.record_abandonment(&choice.upstream);
         }
@@ -126,7 +126,7 @@
 
     fn explain(&mut self, explanation: Explanation) {
         let pool = self.pools.get(&explanation.service);
-        let weighing = pool.map(|p| p.explain(&explanation.ask, self.clock.now()));
+        let weighing = pool.map(|p| p.explain(&explanation.query, self.clock.now()));
         let _ = explanation.reply.send(weighing.unwrap_or_default());
     }
 
@@ -135,7 +135,7 @@
         let Some(pool) = self.pools.get_mut(&started.service) else {
             return;
         };
-        if pool.record_start(&started.upstream, &started.ask.chain, &started.start, now) {
+        if pool.record_start(&started.upstream, &started.query.chain, &started.start, now) {
             self.log_incarnation(&started.upstream);
         }
     }
@@ -188,8 +188,8 @@
         }
         self.view = view;
         self.set_boxes(self.boxes);
-        let leaving = std::mem::take(&mut self.leaving);
-        self.note_leaving(leaving);
+        let draining = std::mem::take(&mut self.draining);
+        self.set_draining(draining);
     }
 
     fn reported(&mut self, service: &str, upstream: &str, report: &jb_protocol::engine::Report) {
@@ -197,9 +197,9 @@
         let Some(pool) = self.pools.get_mut(service) else {
             return;
         };
-        let was_leaving = pool.upstream_mut(upstream).is_some_and(|u| u.drain.by_report);
+        let was_draining = pool.upstream_mut(upstream).is_some_and(|u| u.drain.by_report);
         let new = pool.record_report(upstream, report, now);
-        if report.leaving && !was_leaving {
+        if report.leaving && !was_draining {
             emit!(self.logger, info, event::UPSTREAM_DRAINING, "upstream" => upstream, "by" => "itself");
         }
         if new {
@@ -239,9 +239,9 @@
         emit!(self.logger, info, event::UPSTREAM_INCARNATION, "upstream" => upstream);
     }
 
-    fn note_leaving(&mut self, leaving: Vec<id::Upstream>) {
-        for upstream in &leaving {
-            if !self.leaving.contains(upstream) {
+    fn set_draining(&mut self, draining: Vec<id::Upstream>) {
+        for upstream in &draining {
+            if !self.draining.contains(upstream) {
                 emit!(self.logger, info, event::UPSTREAM_DRAINING,
                     "upstream" => upstream, "by" => "box list");
             }
@@ -250,48 +250,48 @@
             let ids: Vec<id::Upstream> = pool.upstreams().iter().map(|u| u.id.clone()).collect();
             for id in ids {
                 if let Some(upstream) = pool.upstream_mut(&id) {
-                    upstream.drain.by_list = leaving.contains(&id);
+                    upstream.drain.by_list = draining.contains(&id);
                 }
             }
         }
-        self.leaving = leaving;
+        self.draining = draining;
     }
 
     fn summarize(&self) -> Vec<ServiceSummary> {
         let now = self.clock.now();
         let summary = |(service, pool): (&id::Service, &Pool)| {
             let usable = pool.upstreams().iter().filter(|u| u.is_available(now)).count();
-            let leaving = pool.upstreams().iter().filter(|u| u.drain.is_draining());
+            let draining = pool.upstreams().iter().filter(|u| u.drain.is_draining());
             ServiceSummary {
                 service: service.clone(),
                 summary: Summary {
                     hall: self.hall.clone(),
-                    // The own hall is worth a try even when all have failed.
+                    // The own hall counts as usable even when all its upstreams are ejected for failures.
                     usable: pool.upstreams().iter().any(|u| u.accepts_requests(now)),
                     wait_ms: u32::try_from(pool.min_wait(now).as_millis()).unwrap_or(u32::MAX),
                 },
                 usable: u32::try_from(usable).unwrap_or(u32::MAX),
-                leaving: leaving.map(|u| u.id.clone()).collect(),
+                draining: draining.map(|u| u.id.clone()).collect(),
             }
         };
         self.pools.iter().map(summary).collect()
     }
 }
 
-fn choose_in(
+fn choose_from(
     pool: &mut Pool,
-    choosing: &Choosing,
+    selection: &Selection,
     boxes: u32,
     now: jb_policy::Moment,
 ) -> Result<Choice, Rejection> {
-    if choosing.retry && !pool.try_spend_retry(boxes, now) {
+    if selection.retry && !pool.try_spend_retry(boxes, now) {
         return Err(Rejection {
             kind: Kind::UpstreamRefused,
             retry_after: std::time::Duration::from_secs(1),
         });
     }
-    if !choosing.retry {
+    if !selection.retry {
         pool.record_request(now);
     }
-    pool.choose(&choosing.ask, now)
+    pool.choose(&selection.query, now)
 }
--- a/crates/jb-daemon/src/follow/platform.rs
+++ b/crates/jb-daemon/src/follow/platform.rs
@@ -117,7 +117,7 @@
         Ok(Offer::Taken) => {
             context
                 .ring
-                .send_surely(Message::Configure(context.store.view()))
+                .send_reliable(Message::Configure(context.store.view()))
                 .await;
             context
                 .metrics
--- a/crates/jb-daemon/src/members.rs
+++ b/crates/jb-daemon/src/members.rs
@@ -339,7 +339,7 @@
     context.metrics.control_bytes.inc_by(bytes);
     let leaving = entries.iter().filter(|e| !e.entry && e.state == State::Leaving);
     let leaving: Vec<id::Upstream> = leaving.map(|e| e.id.clone()).collect();
-    let _ = context.ring.send(Message::Leaving(leaving));
+    let _ = context.ring.send(Message::Draining(leaving));
     let now = context.clock.now();
     let mut state = context.directory.lock();
     for entry in entries.into_iter().filter(|e| e.entry) {
--- a/crates/jb-daemon/src/run/attempt.rs
+++ b/crates/jb-daemon/src/run/attempt.rs
@@ -78,7 +78,7 @@
     /// Engine.
     pub upstream: id::Upstream,
     /// The request as it was decided on.
-    pub ask: Arc<Query>,
+    pub query: Arc<Query>,
     /// The engine's frames.
     pub frames: Frames,
     /// Check of the frames.
@@ -149,7 +149,7 @@
                 let started = Started {
                     service: self.service.clone(),
                     upstream: self.upstream.clone(),
-                    ask: Arc::clone(&self.ask),
+                    query: Arc::clone(&self.query),
                     start,
                 };
                 if context.ring.send(Message::Started(started)).is_err() {
@@ -159,7 +159,7 @@
             }
             Event::Token(text) => Ok(Part::Token(text)),
             Event::Ended(finish_reason) => Ok(Part::Ended(Ending {
-                prompt_tokens: self.ask.chain.tokens,
+                prompt_tokens: self.query.chain.tokens,
                 cached_tokens: self.cached_tokens,
                 completion_tokens: self.reader.next_index(),
                 engine: self.upstream.clone(),
--- a/crates/jb-daemon/src/run/plain.rs
+++ b/crates/jb-daemon/src/run/plain.rs
@@ -85,7 +85,7 @@
     call: Call<Unsent>,
     deadline: Duration,
 ) -> Result<Answer, Refusal> {
-    let mut ask = Query {
+    let mut query = Query {
         chain: Chain::default(),
         class: Priority::Normal,
         deadline,
@@ -97,7 +97,10 @@
         if standing.attempts() >= ATTEMPTS {
             return Err(standing.give_up(Kind::UpstreamRefused, "every attempt failed"));
         }
-        let chosen = context.ring.choose(&service.id, &ask, standing.was_lost()).await;
+        let chosen = context
+            .ring
+            .choose(&service.id, &query, standing.was_lost())
+            .await;
         let (choice, ticket) = match chosen {
             Err(full) => return Err(standing.give_up(Kind::Busy, &full.to_string())),
             Ok(Err(none)) => {
@@ -106,7 +109,7 @@
             }
             Ok(Ok(chosen)) => chosen,
         };
-        ask.tried.push(choice.upstream.clone());
+        query.tried.push(choice.upstream.clone());
         let Some(upstream) = service.upstreams.iter().find(|u| u.id == choice.upstream) else {
             continue;
         };
--- a/crates/jb-daemon/src/run/session/pick.rs
+++ b/crates/jb-daemon/src/run/session/pick.rs
@@ -40,7 +40,7 @@
 
 impl Session {
     /// The request as the decisions see it.
-    pub(super) fn ask(&self) -> Query {
+    pub(super) fn query(&self) -> Query {
         Query {
             chain: self.request.chain.as_ref().clone(),
             class: self.request.class,
@@ -118,7 +118,7 @@
         let chosen = self
             .context
             .ring
-            .choose(&self.request.service.id, &self.ask(), self.lost_before)
+            .choose(&self.request.service.id, &self.query(), self.lost_before)
             .await;
         match chosen {
             Err(_) => Err(NoTarget {
--- a/crates/jb-daemon/src/run/session/send.rs
+++ b/crates/jb-daemon/src/run/session/send.rs
@@ -81,7 +81,7 @@
         self.attempt = Some(Attempt::Engine(Box::new(AtEngine {
             service: service.id.clone(),
             upstream,
-            ask: Arc::new(self.ask()),
+            query: Arc::new(self.query()),
             frames,
             reader: Reader::new(attempt, service.weights.clone(), self.next),
             ticket,
