--- a/crates/jb-daemon/src/run/attempt.rs
+++ b/crates/jb-daemon/src/run/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: at an engine of the own hall, or through a box of another.
+//! One attempt at a request: at an engine of the own hall, or relayed by another box.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,40 +22,41 @@
 use crate::decide::{Message, Outcome, Started, Ticket};
 use crate::emit;
 
-/// Time added to an upstream's silence when another box waits for it too.
+/// Time added to the silence timeout of a relayed attempt, because the relaying box waits for
+/// the same timeout.
 const RELAY_MARGIN: Duration = Duration::from_millis(500);
 
-/// The next part of an answer.
+/// The next part of a response.
 pub enum Part {
-    /// Something other than a token; the attempt goes on.
+    /// A frame without a token; the attempt continues.
     Progress,
     /// The next token.
     Token(String),
-    /// The answer is complete.
+    /// The response is complete.
     Ended(Ending),
 }
 
-/// Why an attempt is over before its answer is.
-pub enum Trouble {
-    /// It has not run, by the upstream's word.
+/// Why an attempt ended before the response was complete.
+pub enum AttemptError {
+    /// The attempt did not run: the upstream stated so, or could not be reached.
     Denied {
-        /// That word.
+        /// The statement, with its reason.
         denial: Denial,
-        /// Kind of error that the other box gave.
+        /// Error kind; for a relayed attempt the one that the other box returned.
         kind: Kind,
-        /// `Retry-After` of the other box.
+        /// `Retry-After` of a relayed refusal, if any.
         after: Option<Duration>,
     },
-    /// It may have run.
+    /// The attempt was lost; the request may have run.
     Lost {
-        /// Kind of error.
+        /// Error kind.
         kind: Kind,
-        /// What happened.
+        /// Description for the caller and the log.
         detail: String,
     },
 }
 
-impl From<Failure> for Trouble {
+impl From<Failure> for AttemptError {
     fn from(failure: Failure) -> Self {
         let lost = |kind, detail: String| Self::Lost { kind, detail };
         match failure {
@@ -72,55 +73,55 @@
 }
 
 /// An attempt at an engine.
-pub struct AtEngine {
-    /// Service.
+pub struct EngineAttempt {
+    /// Service of the request.
     pub service: id::Service,
-    /// Engine.
+    /// Engine to which the request was sent.
     pub upstream: id::Upstream,
-    /// The request as it was decided on.
+    /// Placement query by which the engine was chosen.
     pub query: Arc<Query>,
-    /// The engine's frames.
+    /// Frames of the engine's response.
     pub frames: Frames,
-    /// Check of the frames.
+    /// Validates the order and origin of the frames.
     pub reader: Reader,
-    /// Counts the attempt.
+    /// Counts the attempt as in flight.
     pub ticket: Ticket,
-    /// Tokens found cached.
+    /// Prompt tokens found in the prefix cache.
     pub cached_tokens: u32,
 }
 
-/// An attempt through another box.
-pub struct AtPeer {
-    /// The other box.
+/// An attempt relayed by another box.
+pub struct PeerAttempt {
+    /// The relaying box.
     pub peer: id::Box,
-    /// Its hall.
+    /// Hall of the relaying box.
     pub hall: id::Hall,
-    /// Its frames.
+    /// Frames of the relayed response.
     pub frames: Streaming<RelayFrame>,
-    /// Index due next.
+    /// Index of the next expected token.
     pub next: u32,
-    /// Silence after which it is given up.
+    /// Time without a frame after which the attempt is abandoned, before the margin for relaying.
     pub silence: Duration,
 }
 
 /// One attempt.
 pub enum Attempt {
     /// At an engine of the own hall.
-    Engine(Box<AtEngine>),
-    /// Through a box of another hall.
-    Peer(Box<AtPeer>),
+    Engine(Box<EngineAttempt>),
+    /// Relayed by another box.
+    Peer(Box<PeerAttempt>),
 }
 
 impl Attempt {
-    /// Reads the next part.
-    pub async fn read(&mut self, context: &Context) -> Result<Part, Trouble> {
+    /// Reads the next part of the response.
+    pub async fn read(&mut self, context: &Context) -> Result<Part, AttemptError> {
         match self {
             Self::Engine(attempt) => attempt.read(context).await,
             Self::Peer(attempt) => attempt.read(context).await,
         }
     }
 
-    /// Name of the engine or the box to which it went.
+    /// Returns the id of the engine or box to which the attempt was sent.
     pub fn name(&self) -> &str {
         match self {
             Self::Engine(attempt) => &attempt.upstream,
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Ends the attempt, telling the decisions how.
+    /// Ends the attempt and reports its outcome to the decision thread.
     pub fn end(self, outcome: Outcome) {
         if let Self::Engine(attempt) = self {
             attempt.ticket.end(outcome);
@@ -136,8 +137,8 @@
     }
 }
 
-impl AtEngine {
-    async fn read(&mut self, context: &Context) -> Result<Part, Trouble> {
+impl EngineAttempt {
+    async fn read(&mut self, context: &Context) -> Result<Part, AttemptError> {
         let frame = match self.frames.next().await {
             Some(frame) => frame?,
             None => return Err(Failure::Lost("the answer stopped without an end".to_owned()).into()),
@@ -170,17 +171,17 @@
                 emit!(context.logger, warn, event::FRAME_DROPPED, "upstream" => &self.upstream);
                 Ok(Part::Progress)
             }
-            Event::Invalid(fault) => {
+            Event::Invalid(violation) => {
                 emit!(context.logger, warn, event::UPSTREAM_PROTOCOL,
-                    "upstream" => &self.upstream, "why" => fault.to_string());
-                Err(Failure::Protocol(fault.to_string()).into())
+                    "upstream" => &self.upstream, "why" => violation.to_string());
+                Err(Failure::Protocol(violation.to_string()).into())
             }
         }
     }
 }
 
-impl AtPeer {
-    async fn read(&mut self, context: &Context) -> Result<Part, Trouble> {
+impl PeerAttempt {
+    async fn read(&mut self, context: &Context) -> Result<Part, AttemptError> {
         let frame = timeout(self.silence + RELAY_MARGIN, self.frames.message()).await;
         let frame = match frame {
             Err(_) => return Err(Failure::Silent.into()),
@@ -208,7 +209,7 @@
         }
     }
 
-    fn ended(&self, ending: jb_wire::peer::Ending) -> Result<Part, Trouble> {
+    fn ended(&self, ending: jb_wire::peer::Ending) -> Result<Part, AttemptError> {
         if ending.completion_tokens != self.next {
             return Err(Failure::Protocol("the end does not count the tokens".to_owned()).into());
         }
@@ -222,17 +223,17 @@
     }
 }
 
-fn refused(body: &[u8]) -> Trouble {
+fn refused(body: &[u8]) -> AttemptError {
     let Ok(document) = serde_json::from_slice::<Document>(body) else {
         return Failure::Protocol("a refusal that cannot be read".to_owned()).into();
     };
     match document.outcome {
-        Ran::NotRun => Trouble::Denied {
+        Ran::NotRun => AttemptError::Denied {
             denial: Denial::from_upstream(document.detail),
             kind: document.kind,
             after: document.retry_after_s.map(Duration::from_secs),
         },
-        Ran::MayHaveRun | Ran::RanPartly => Trouble::Lost {
+        Ran::MayHaveRun | Ran::RanPartly => AttemptError::Lost {
             kind: document.kind,
             detail: document.detail,
         },
--- a/crates/jb-daemon/src/run/mod.rs
+++ b/crates/jb-daemon/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! Runs one request: attempts, retries, resumption, and the check of answers.
+//! Runs one request: attempts, retries, stream resumption, and validation of responses.
 
 mod attempt;
 mod plain;
--- a/crates/jb-daemon/src/run/plain.rs
+++ b/crates/jb-daemon/src/run/plain.rs
@@ -18,18 +18,18 @@
 use crate::decide::Outcome;
 use crate::emit;
 
-/// Most attempts for one call.
-const ATTEMPTS: u32 = 4;
+/// Maximum number of attempts per call.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// Where a call stands between two attempts.
-enum Standing {
-    /// Nothing of it can have run.
+/// State of a call between two attempts.
+enum CallState {
+    /// No attempt can have run.
     Unsent(Call<Unsent>),
-    /// An attempt may have run, and the call may be repeated.
+    /// An attempt may have run, and the call may be sent again.
     Sent(Call<Sent>),
 }
 
-impl Standing {
+impl CallState {
     fn attempts(&self) -> u32 {
         match self {
             Self::Unsent(call) => call.attempts(),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Whether an attempt was lost; a denial costs no retry.
+    /// Returns whether an attempt was lost. Only then is the next attempt charged to the retry budget.
     fn was_lost(&self) -> bool {
         matches!(self, Self::Sent(_))
     }
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Where the call stands after a failed attempt.
+    /// Returns the state after a failed attempt, or the refusal if the call may not be sent again.
     fn after(sent: Call<Sent>, failure: Failure) -> Result<Self, Refusal> {
         let (kind, detail) = match failure {
             Failure::Denied(denial) | Failure::Unreachable(denial) => match sent.deny(&denial) {
@@ -73,8 +73,8 @@
     }
 }
 
-/// Runs a call; a lost attempt is followed by another only where the call
-/// may be repeated.
+/// Runs a call. A lost attempt is followed by another only if the call may be
+/// sent again.
 ///
 /// # Errors
 /// The final refusal.
@@ -92,19 +92,16 @@
         tried: Vec::new(),
     };
     let parent = request.traceparent.clone();
-    let mut standing = Standing::Unsent(call);
+    let mut state = CallState::Unsent(call);
     loop {
-        if standing.attempts() >= ATTEMPTS {
-            return Err(standing.give_up(Kind::UpstreamRefused, "every attempt failed"));
+        if state.attempts() >= MAX_ATTEMPTS {
+            return Err(state.give_up(Kind::UpstreamRefused, "every attempt failed"));
         }
-        let chosen = context
-            .ring
-            .choose(&service.id, &query, standing.was_lost())
-            .await;
+        let chosen = context.ring.choose(&service.id, &query, state.was_lost()).await;
         let (choice, ticket) = match chosen {
-            Err(full) => return Err(standing.give_up(Kind::Busy, &full.to_string())),
+            Err(full) => return Err(state.give_up(Kind::Busy, &full.to_string())),
             Ok(Err(none)) => {
-                let refusal = standing.give_up(none.kind, "no upstream is left to try");
+                let refusal = state.give_up(none.kind, "no upstream is left to try");
                 return Err(refusal.with_retry_after(none.retry_after));
             }
             Ok(Ok(chosen)) => chosen,
@@ -113,7 +110,7 @@
         let Some(upstream) = service.upstreams.iter().find(|u| u.id == choice.upstream) else {
             continue;
         };
-        let sent = standing.send();
+        let sent = state.send();
         request.attempt = sent.attempt();
         let mut hop = context
             .traces
@@ -139,7 +136,7 @@
                     "request" => sent.id(), "upstream" => &choice.upstream, "why" => format!("{failure:?}"));
                 let denied = matches!(failure, Failure::Denied(_));
                 ticket.end(if denied { Outcome::Denied } else { Outcome::Failed });
-                standing = Standing::after(sent, failure)?;
+                state = CallState::after(sent, failure)?;
             }
         }
     }
--- a/crates/jb-daemon/src/run/request.rs
+++ b/crates/jb-daemon/src/run/request.rs
@@ -1,4 +1,4 @@
-//! A request for an engine, as it was understood.
+//! Parsed inference requests, and the lookup of their route and service.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,80 +12,81 @@
 /// Which halls may serve a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
-    /// Any hall; for requests of callers.
+    /// Any hall; for requests received from callers.
     Any,
-    /// The box's own hall; for requests relayed by another box.
+    /// The box's own hall only; for requests relayed by another box.
     Own,
 }
 
-/// A caller's body.
+/// The parsed body of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Parsed {
-    /// Route that the caller names as the model.
+    /// Route id that the caller gave as the model.
     pub model: String,
-    /// Nested levels of the prompt, the outermost first.
+    /// Segments of the prompt from its start; each prefix of segments is a level of the prefix chain.
     pub levels: Vec<String>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     pub stream: bool,
 }
 
 /// A request that is ready to run.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Id.
+    /// Request id.
     pub id: String,
-    /// Customer.
+    /// Customer that sent the request.
     pub customer: id::Customer,
-    /// Route.
+    /// Route that the request names.
     pub route: Route,
-    /// Service that the route leads to.
+    /// Service to which the route points.
     pub service: Service,
     /// Parsed body.
     pub parsed: Parsed,
-    /// Prefixes of the prompt.
+    /// Hashes of the prompt's prefixes.
     pub chain: Arc<Chain>,
-    /// Salt of the engines' caches.
+    /// Salt for the engines' prefix caches.
     pub salt: String,
     /// Priority class.
     pub class: Priority,
-    /// Time within which the first token is due.
+    /// Time to the first token that the caller accepts.
     pub deadline: Duration,
-    /// Whether it may run at most once.
+    /// Whether the request may run at most once.
     pub once: bool,
-    /// Trace context.
+    /// W3C trace context of the caller.
     pub traceparent: Option<String>,
-    /// First index wanted.
+    /// Index of the first token to deliver.
     pub resume_at: u32,
-    /// Which halls may serve it.
+    /// Halls that may serve the request.
     pub reach: Reach,
-    /// The body as it came, for relaying and to know the request again.
+    /// The body as received, for relaying and for the fingerprint of the request.
     pub body: Bytes,
-    /// Path to which it came.
+    /// Path on which the request was received.
     pub endpoint: String,
 }
 
 impl Request {
-    /// Tokens that count against the customer's rate.
+    /// Returns the tokens charged to the customer's rate limit: prompt plus maximum output.
     pub fn tokens(&self) -> u32 {
         self.chain.tokens.saturating_add(self.parsed.max_tokens)
     }
 }
 
-/// Route and service of a model, and the prefixes of the prompt.
+/// Route and service of a model, with the prefix chain of the prompt.
 pub struct Resolved {
-    /// Route.
+    /// Route with the name of the model.
     pub route: Route,
-    /// Service.
+    /// Service to which the route points.
     pub service: Service,
-    /// Prefixes.
+    /// Hashes of the prompt's prefixes.
     pub chain: Arc<Chain>,
-    /// Salt.
+    /// Salt for the engines' prefix caches.
     pub salt: String,
 }
 
-/// Finds route and service of a model that a customer may use.
+/// Returns route and service of the requested model; `None` if the model is unknown or the
+/// customer may not use it.
 pub fn resolve(view: &View, customer: &str, parsed: &Parsed) -> Option<Resolved> {
     let allowed = view.customers.get(customer)?.may_use(&parsed.model);
     let route = view.routes.get(&parsed.model).filter(|_| allowed)?;
--- a/crates/jb-daemon/src/run/session/isolation.rs
+++ b/crates/jb-daemon/src/run/session/isolation.rs
@@ -1,4 +1,4 @@
-//! A request that may end the engine that runs it.
+//! Isolation of requests that are suspected of crashing the engines that run them.
 
 use std::net::SocketAddr;
 
@@ -8,23 +8,24 @@
 use super::Session;
 use super::pick::NoTarget;
 use crate::quarantine;
-use crate::run::attempt::{Attempt, Trouble};
+use crate::run::attempt::{Attempt, AttemptError};
 
-/// Neighbours of an engine to which a connection is tried, for whether the path there is well.
+/// Maximum number of neighbouring engines to probe when an engine is unreachable, to tell a crash from a
+/// network failure.
 const MAX_NEIGHBOURS: usize = 16;
 
 impl Session {
-    fn content(&self) -> Fingerprint {
+    fn fingerprint(&self) -> Fingerprint {
         let request = &self.request;
         Fingerprint::new(&request.customer, &[request.endpoint.as_bytes()], &request.body)
     }
 
     pub(super) fn verdict(&self) -> Verdict {
         let now = self.context.clock.now();
-        self.context.quarantine.verdict(|| self.content(), now)
+        self.context.quarantine.verdict(|| self.fingerprint(), now)
     }
 
-    /// Why a request that ends engines goes nowhere.
+    /// Returns the error for a quarantined request.
     pub(super) fn poisonous() -> NoTarget {
         NoTarget {
             kind: Kind::Poisonous,
@@ -32,30 +33,32 @@
         }
     }
 
-    /// Notes that an engine gets a suspect, where it is one; `false` when another try of it is under
-    /// way, or the engine has another suspect.
-    pub(super) fn begin_isolated(&mut self, engine: EngineId) -> bool {
+    /// Begins a trial on the engine if the request is a suspect. Returns `false` if the request already
+    /// has a trial elsewhere or the engine is running another suspect.
+    pub(super) fn begin_trial(&mut self, engine: EngineId) -> bool {
         if self.verdict() != Verdict::Suspected {
             return true;
         }
         let now = self.context.clock.now();
         let quarantine = &self.context.quarantine;
-        let free = !quarantine.trials(now).contains(&engine) && quarantine.begin(self.content(), engine, now);
-        self.isolated = free.then_some(engine);
+        let free =
+            !quarantine.trials(now).contains(&engine) && quarantine.begin(self.fingerprint(), engine, now);
+        self.trial = free.then_some(engine);
         free
     }
 
-    /// The try of a suspect is over.
-    pub(super) fn end_isolated(&mut self) {
-        if let Some(engine) = self.isolated.take() {
-            self.context.quarantine.end(self.content(), engine);
+    /// Ends the trial of the request, if one is running.
+    pub(super) fn end_trial(&mut self) {
+        if let Some(engine) = self.trial.take() {
+            self.context.quarantine.end(self.fingerprint(), engine);
         }
     }
 
-    /// Notes it if the engine of a lost attempt has ended.
-    // Not by shared reference: an attempt's frames may not be shared between threads.
-    pub(super) async fn note_end(&mut self, trouble: &Trouble) {
-        let (Trouble::Lost { .. }, Some(upstream)) = (trouble, &self.last_engine) else {
+    /// Records evidence against the request if the engine of a lost attempt has crashed.
+    // Takes `&mut self` because the frames of an attempt are not `Sync`, so a future that holds
+    // `&self` would not be `Send`.
+    pub(super) async fn record_crash(&mut self, error: &AttemptError) {
+        let (AttemptError::Lost { .. }, Some(upstream)) = (error, &self.last_engine) else {
             return;
         };
         let all = &self.request.service.upstreams;
@@ -67,19 +70,19 @@
             .filter(|u| u.hall == config.hall && u.id != config.id && !self.tried.contains(&u.id));
         let neighbours: Vec<SocketAddr> = near.take(MAX_NEIGHBOURS).map(|u| u.address).collect();
         if quarantine::has_ended(config.address, &neighbours).await {
-            let evidence = Evidence::from_crash(upstream.instance, self.isolated.is_some());
-            quarantine::note(&self.context, self.content(), evidence);
+            let evidence = Evidence::from_crash(upstream.instance, self.trial.is_some());
+            quarantine::note(&self.context, self.fingerprint(), evidence);
         }
     }
 
-    /// Notes that an engine has run the request to a good end, where anything is known of it.
-    pub(super) fn note_run(&self) {
+    /// Records that an engine completed the request, if the request is suspected.
+    pub(super) fn record_completion(&self) {
         if let (Some(Attempt::Engine(_)), Some(upstream)) = (&self.attempt, &self.last_engine)
             && self.verdict() != Verdict::Unsuspected
         {
             quarantine::note(
                 &self.context,
-                self.content(),
+                self.fingerprint(),
                 Evidence::from_completion(upstream.instance),
             );
         }
--- a/crates/jb-daemon/src/run/session/mod.rs
+++ b/crates/jb-daemon/src/run/session/mod.rs
@@ -1,5 +1,5 @@
-//! A request on its way: attempts follow each other until the answer is
-//! complete or the request is given up.
+//! A request in progress: attempts are made in turn until the response is
+//! complete or the request is refused.
 
 mod isolation;
 mod pick;
@@ -14,42 +14,42 @@
 use jb_protocol::{event, id};
 
 use self::pick::{NoTarget, Target};
-use super::attempt::{Attempt, Part, Trouble};
+use super::attempt::{Attempt, AttemptError, Part};
 use super::request::Request;
 use crate::context::Context;
 use crate::decide::Outcome;
 use crate::emit;
 use crate::trace::Hop;
 
-/// Most attempts for one request.
-const ATTEMPTS: u32 = 5;
+/// Maximum number of attempts per request.
+const MAX_ATTEMPTS: u32 = 5;
 
-/// Facts of a complete answer.
+/// Summary of a complete response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ending {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Tokens of the prompt that were found cached.
+    /// Number of prompt tokens found in the prefix cache.
     pub cached_tokens: u32,
-    /// Tokens of the answer.
+    /// Number of generated tokens.
     pub completion_tokens: u32,
-    /// Engine that ended it.
+    /// Engine that completed the response.
     pub engine: id::Upstream,
-    /// Why it ended.
+    /// Finish reason given by the engine.
     pub finish_reason: String,
 }
 
-/// What the caller is owed next.
+/// The next item to deliver to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// A token.
+    /// A generated token.
     Token {
-        /// Place in the answer.
+        /// Index in the response.
         index: u32,
-        /// Text.
+        /// Text of the token.
         text: String,
     },
-    /// The explicit end.
+    /// The end of the response.
     Ended(Ending),
 }
 
@@ -60,7 +60,7 @@
     Over,
 }
 
-/// One request on its way.
+/// One request in progress.
 pub struct Session {
     context: Arc<Context>,
     request: Request,
@@ -72,12 +72,12 @@
     tried_boxes: Vec<id::Box>,
     tried_halls: Vec<id::Hall>,
     refused: Option<NoTarget>,
-    /// Whether an attempt was lost; a denial costs no retry.
+    /// Whether an attempt was lost. Only then is the next attempt charged to the retry budget.
     lost_before: bool,
     /// Engine of the last attempt in the own hall.
     last_engine: Option<LastEngine>,
-    /// Engine that has the request as the only suspect there.
-    isolated: Option<EngineId>,
+    /// Engine on which the request runs as the only suspect.
+    trial: Option<EngineId>,
 }
 
 /// Engine of the last attempt.
@@ -89,7 +89,7 @@
 
 impl Drop for Session {
     fn drop(&mut self) {
-        self.end_isolated();
+        self.end_trial();
         if !matches!(self.phase, Phase::Over) {
             emit!(self.context.logger, info, event::CALLER_GONE, "request" => &self.request.id);
         }
@@ -97,7 +97,7 @@
 }
 
 impl Session {
-    /// A session for a request that has not been sent.
+    /// Creates a session for a request that has not been sent.
     pub fn new(context: Arc<Context>, request: Request) -> Self {
         let call = Call::new(request.id.clone(), request.once);
         Self {
@@ -113,17 +113,17 @@
             refused: None,
             lost_before: false,
             last_engine: None,
-            isolated: None,
+            trial: None,
         }
     }
 
-    /// The request.
+    /// Returns the request that the session runs.
     pub fn request(&self) -> &Request {
         &self.request
     }
 
-    /// What the caller is owed next. After an end or a refusal there is
-    /// nothing more.
+    /// Returns the next item to deliver. Must not be called again after an end
+    /// or a refusal.
     ///
     /// # Errors
     /// The final refusal.
@@ -137,10 +137,10 @@
                 Ok(Part::Progress) => {}
                 Ok(Part::Token(text)) => return Ok(self.token(text)),
                 Ok(Part::Ended(ending)) => return Ok(self.ended(ending)),
-                Err(trouble) => {
-                    self.note_end(&trouble).await;
-                    self.end_isolated();
-                    self.troubled(trouble)?;
+                Err(error) => {
+                    self.record_crash(&error).await;
+                    self.end_trial();
+                    self.attempt_failed(error)?;
                 }
             }
         }
@@ -158,7 +158,7 @@
 
     fn ended(&mut self, ending: Ending) -> Delivery {
         self.phase = Phase::Over;
-        self.note_run();
+        self.record_completion();
         self.end_attempt(Outcome::Succeeded);
         Delivery::Ended(ending)
     }
@@ -170,11 +170,11 @@
         }
     }
 
-    /// Chooses where the next attempt goes and sends it there.
-    async fn begin(&mut self) -> Result<Result<Part, Trouble>, Refusal> {
+    /// Picks a target for the next attempt and sends the request there.
+    async fn begin(&mut self) -> Result<Result<Part, AttemptError>, Refusal> {
         let target = match self.pick().await {
             Ok(target) => target,
-            Err(none) => return Err(self.give_up(none.kind, why(none.kind), none.after)),
+            Err(none) => return Err(self.give_up(none.kind, no_target_detail(none.kind), none.after)),
         };
         self.last_engine = None;
         if let Target::Engine {
@@ -182,7 +182,7 @@
         } = &target
         {
             let (id, instance) = (upstream.clone(), *instance);
-            if !self.begin_isolated(instance) {
+            if !self.begin_trial(instance) {
                 return Err(self.give_up(Kind::Busy, "the request may end engines and waits its turn", None));
             }
             self.last_engine = Some(LastEngine { id, instance });
@@ -223,33 +223,33 @@
         Ok(sent.map(|()| Part::Progress))
     }
 
-    /// Decides whether another attempt may follow a failed one.
-    fn troubled(&mut self, trouble: Trouble) -> Result<(), Refusal> {
+    /// Handles a failed attempt; returns the final refusal if no other attempt may follow.
+    fn attempt_failed(&mut self, error: AttemptError) -> Result<(), Refusal> {
         self.context.metrics.failed_attempts.inc();
         let to = self
             .attempt
             .as_ref()
             .map(|a| a.name().to_owned())
             .unwrap_or_default();
-        match trouble {
-            Trouble::Denied {
+        match error {
+            AttemptError::Denied {
                 kind: Kind::Poisonous,
                 denial,
                 ..
             } => {
-                // Another hall's engines are no less at risk.
+                // The request would crash engines of other halls just as well.
                 self.end_attempt(Outcome::Denied);
                 Err(self.give_up(Kind::Poisonous, denial.reason(), None))
             }
-            Trouble::Denied { denial, kind, after } => {
+            AttemptError::Denied { denial, kind, after } => {
                 emit!(self.context.logger, info, event::ATTEMPT_FAILED,
                     "request" => &self.request.id, "to" => to, "why" => denial.reason());
-                self.note_full_hall(kind);
+                self.exclude_full_hall(kind);
                 self.end_attempt(Outcome::Denied);
                 self.refused = Some(NoTarget { kind, after });
                 self.after_denial(&denial, kind)
             }
-            Trouble::Lost { kind, detail } => {
+            AttemptError::Lost { kind, detail } => {
                 emit!(self.context.logger, warn, event::ATTEMPT_FAILED,
                     "request" => &self.request.id, "to" => to, "why" => &detail);
                 self.end_attempt(Outcome::Failed);
@@ -295,13 +295,13 @@
             Phase::Streaming(call) => call.attempts(),
             Phase::Over => 0,
         };
-        if attempts < ATTEMPTS {
+        if attempts < MAX_ATTEMPTS {
             return Ok(());
         }
         Err(self.give_up(kind, detail, None))
     }
 
-    /// The final refusal; what it says of the outcome follows from the phase.
+    /// Returns the final refusal; its outcome follows from the phase.
     fn give_up(&mut self, kind: Kind, detail: &str, after: Option<Duration>) -> Refusal {
         let refusal = match std::mem::replace(&mut self.phase, Phase::Over) {
             Phase::Unsent(call) => call.refuse(kind, detail),
@@ -316,8 +316,8 @@
     }
 }
 
-/// Error message for a request without a target.
-fn why(kind: Kind) -> &'static str {
+/// Returns the error message for a request without a target.
+fn no_target_detail(kind: Kind) -> &'static str {
     match kind {
         Kind::Poisonous => "engines have ended while they ran this request",
         _ => "no upstream is left to try",
--- a/crates/jb-daemon/src/run/session/pick.rs
+++ b/crates/jb-daemon/src/run/session/pick.rs
@@ -1,4 +1,4 @@
-//! Where the next attempt of a request goes.
+//! Selection of the target for the next attempt of a request.
 
 use std::time::Duration;
 
@@ -16,11 +16,11 @@
 use crate::run::attempt::Attempt;
 use crate::run::request::Reach;
 
-/// Where the next attempt goes.
+/// Target of an attempt.
 pub(super) enum Target {
     Engine {
         upstream: id::Upstream,
-        /// Its present life.
+        /// Identifies the engine process; changes at a restart.
         instance: EngineId,
         permit: Permit,
         ticket: Ticket,
@@ -32,14 +32,14 @@
     },
 }
 
-/// Why there is nowhere to go.
+/// Why no target is available.
 pub(super) struct NoTarget {
     pub(super) kind: Kind,
     pub(super) after: Option<Duration>,
 }
 
 impl Session {
-    /// The request as the decisions see it.
+    /// Returns the placement query for the next attempt.
     pub(super) fn query(&self) -> Query {
         Query {
             chain: self.request.chain.as_ref().clone(),
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Tries the halls in their order; the first refusal is the one reported.
+    /// Picks a target, trying the halls in order of preference. If none has one, the refusal of the
+    /// previous attempt or else the first error is returned.
     pub(super) async fn pick(&mut self) -> Result<Target, NoTarget> {
         if self.verdict() == Verdict::Quarantined {
             return Err(Self::poisonous());
@@ -59,7 +60,7 @@
             if self.tried_halls.contains(&hall) {
                 continue;
             }
-            let result = match self.box_for(&hall) {
+            let result = match self.relay_box(&hall) {
                 Some(member) => Ok(Target::Peer {
                     id: member.id,
                     address: member.peer_address,
@@ -138,11 +139,11 @@
         }
     }
 
-    /// The box to which a request for a hall is passed on; `None` when this
-    /// box is to decide itself, or when no box is left to try.
-    fn box_for(&self, hall: &str) -> Option<Member> {
+    /// Returns the box to relay a request for a hall to; `None` if this box
+    /// places the request itself, or if no box is left to try.
+    fn relay_box(&self, hall: &str) -> Option<Member> {
         let own = hall == self.context.settings.hall;
-        if own && !self.is_passed_on() {
+        if own && !self.can_relay() {
             return None;
         }
         let service = &self.request.service;
@@ -150,7 +151,7 @@
         let cell = cell::of(self.request.chain.root.hash, cell::count(engines));
         let boxes = self.context.directory.boxes_for(hall, &service.id, cell);
         if own {
-            // Only the first counts: where it fails, this box decides itself.
+            // Only the first box is tried; if it fails, this box places the request itself.
             let first = boxes.into_iter().next()?;
             let other = first.id != self.context.settings.id && !self.tried_boxes.contains(&first.id);
             return other.then_some(first);
@@ -158,16 +159,17 @@
         boxes.into_iter().find(|m| !self.tried_boxes.contains(&m.id))
     }
 
-    /// Whether another box of the own hall may decide. A request that runs at
-    /// most once is not put at the risk of one more box.
-    fn is_passed_on(&self) -> bool {
+    /// Returns whether the request may be relayed to another box of the own
+    /// hall. A request that may run at most once is not, because one more box
+    /// is one more point of failure.
+    fn can_relay(&self) -> bool {
         self.request.reach == Reach::Any
             && !self.request.once
             && self.request.service.policy == Policy::Junctionbend
     }
 
-    /// A hall whose deciding box has refused for want of room is not asked again.
-    pub(super) fn note_full_hall(&mut self, kind: Kind) {
+    /// Excludes a hall from further attempts after its box has refused for lack of capacity.
+    pub(super) fn exclude_full_hall(&mut self, kind: Kind) {
         let full = matches!(
             kind,
             Kind::Overloaded | Kind::DeadlineUnreachable | Kind::NoUpstream
--- a/crates/jb-daemon/src/run/session/send.rs
+++ b/crates/jb-daemon/src/run/session/send.rs
@@ -1,4 +1,4 @@
-//! The sends of a request: to an engine of the own hall, or to a box of another one.
+//! Sends a request to an engine of the own hall or to another box.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use super::Session;
 use super::pick::Target;
 use crate::decide::{Outcome, Ticket};
-use crate::run::attempt::{AtEngine, AtPeer, Attempt, Trouble};
+use crate::run::attempt::{Attempt, AttemptError, EngineAttempt, PeerAttempt};
 use crate::trace::Hop;
 
 impl Session {
@@ -30,7 +30,7 @@
         self.hop = Some(hop);
     }
 
-    /// Trace context of the present attempt.
+    /// Returns the trace context of the current attempt.
     fn traceparent(&self) -> Option<String> {
         self.hop.as_ref().and_then(Hop::traceparent)
     }
@@ -41,11 +41,11 @@
         upstream: id::Upstream,
         permit: Permit,
         ticket: Ticket,
-    ) -> Result<(), Trouble> {
+    ) -> Result<(), AttemptError> {
         let service = &self.request.service;
         self.tried.push(upstream.clone());
         let Some(config) = service.upstreams.iter().find(|u| u.id == upstream) else {
-            return Err(Trouble::Denied {
+            return Err(AttemptError::Denied {
                 denial: jb_policy::call::Denial::from_upstream("the upstream has left the tree"),
                 kind: Kind::NoUpstream,
                 after: None,
@@ -78,7 +78,7 @@
                 return Err(failure.into());
             }
         };
-        self.attempt = Some(Attempt::Engine(Box::new(AtEngine {
+        self.attempt = Some(Attempt::Engine(Box::new(EngineAttempt {
             service: service.id.clone(),
             upstream,
             query: Arc::new(self.query()),
@@ -95,7 +95,7 @@
         peer: id::Box,
         address: &str,
         hall: id::Hall,
-    ) -> Result<(), Trouble> {
+    ) -> Result<(), AttemptError> {
         self.tried_boxes.push(peer.clone());
         let request = RelayRequest {
             version: jb_wire::VERSION,
@@ -112,7 +112,7 @@
         };
         match self.context.dialer.relay(address, request).await {
             Ok(frames) => {
-                self.attempt = Some(Attempt::Peer(Box::new(AtPeer {
+                self.attempt = Some(Attempt::Peer(Box::new(PeerAttempt {
                     peer,
                     hall,
                     frames,
