--- a/crates/jb-daemon/src/serve/body.rs
+++ b/crates/jb-daemon/src/serve/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of the completion interfaces, and their answers.
+//! Request and response bodies of the chat and text completion endpoints.
 
 use jb_protocol::id;
 use serde::{Deserialize, Serialize};
@@ -9,22 +9,22 @@
 pub const CHAT: &str = "/v1/chat/completions";
 /// Path of text completions.
 pub const TEXT: &str = "/v1/completions";
-/// Tokens generated when the caller names no limit.
-const DEFAULT_TOKENS: u32 = 256;
-/// Most tokens that a caller may ask for.
-const MOST_TOKENS: u32 = 32_768;
+/// Maximum number of generated tokens if the request sets none.
+const DEFAULT_MAX_TOKENS: u32 = 256;
+/// Largest `max_tokens` that a request may set.
+const MAX_TOKENS: u32 = 32_768;
 
 /// Why a body was refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
-    /// It is not the JSON that the path expects.
+pub enum InvalidBody {
+    /// It is not valid JSON or does not match the schema of the endpoint.
     #[error("the body is not the JSON that this path expects: {0}")]
     Json(String),
     /// It has no prompt.
     #[error("the prompt is empty")]
     Empty,
-    /// It asks for no tokens, or for too many.
-    #[error("`max_tokens` must be from 1 to {MOST_TOKENS}")]
+    /// `max_tokens` is zero or too large.
+    #[error("`max_tokens` must be from 1 to {MAX_TOKENS}")]
     Tokens,
 }
 
@@ -65,44 +65,44 @@
     stream: bool,
 }
 
-/// Reads the body of a completion.
+/// Parses and validates the body of a completion request.
 ///
 /// # Errors
-/// What is wrong with it.
-pub fn parse(endpoint: &str, body: &[u8]) -> Result<Parsed, Fault> {
+/// Why the body is invalid.
+pub fn parse(endpoint: &str, body: &[u8]) -> Result<Parsed, InvalidBody> {
     let parsed = if endpoint == CHAT {
         parse_chat(body)?
     } else {
         parse_text(body)?
     };
     if parsed.levels.iter().all(String::is_empty) {
-        return Err(Fault::Empty);
+        return Err(InvalidBody::Empty);
     }
-    if !(1..=MOST_TOKENS).contains(&parsed.max_tokens) {
-        return Err(Fault::Tokens);
+    if !(1..=MAX_TOKENS).contains(&parsed.max_tokens) {
+        return Err(InvalidBody::Tokens);
     }
     Ok(parsed)
 }
 
-fn parse_chat(body: &[u8]) -> Result<Parsed, Fault> {
-    let chat: Chat = serde_json::from_slice(body).map_err(|e| Fault::Json(e.to_string()))?;
+fn parse_chat(body: &[u8]) -> Result<Parsed, InvalidBody> {
+    let chat: Chat = serde_json::from_slice(body).map_err(|e| InvalidBody::Json(e.to_string()))?;
     Ok(Parsed {
         model: chat.model,
         levels: chat.messages.into_iter().map(level).collect(),
         max_tokens: chat
             .max_completion_tokens
             .or(chat.max_tokens)
-            .unwrap_or(DEFAULT_TOKENS),
+            .unwrap_or(DEFAULT_MAX_TOKENS),
         stream: chat.stream,
     })
 }
 
-fn parse_text(body: &[u8]) -> Result<Parsed, Fault> {
-    let text: Text = serde_json::from_slice(body).map_err(|e| Fault::Json(e.to_string()))?;
+fn parse_text(body: &[u8]) -> Result<Parsed, InvalidBody> {
+    let text: Text = serde_json::from_slice(body).map_err(|e| InvalidBody::Json(e.to_string()))?;
     Ok(Parsed {
         model: text.model,
         levels: vec![text.prompt],
-        max_tokens: text.max_tokens.unwrap_or(DEFAULT_TOKENS),
+        max_tokens: text.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS),
         stream: text.stream,
     })
 }
@@ -115,7 +115,7 @@
     format!("{}: {text}\n", message.role)
 }
 
-/// Counts of tokens in an answer.
+/// Token counts of a response.
 #[derive(Serialize)]
 pub struct Usage {
     prompt_tokens: u32,
@@ -142,7 +142,7 @@
     }
 }
 
-/// A whole answer, or one chunk of a streamed one.
+/// A complete response, or one chunk of a streamed one.
 #[derive(Serialize)]
 pub struct Answer<'a> {
     id: &'a str,
@@ -171,20 +171,20 @@
     content: &'a str,
 }
 
-/// Shapes of the answers of one path.
+/// Builds the response bodies of one request.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape<'a> {
-    /// Whether it answers chat completions.
+pub struct ResponseFormat<'a> {
+    /// Whether the endpoint is chat completions rather than text completions.
     pub chat: bool,
-    /// Id of the request.
+    /// Request id.
     pub id: &'a str,
     /// Model that the caller named.
     pub model: &'a str,
 }
 
-impl<'a> Shape<'a> {
-    /// A whole answer.
-    pub fn whole(self, text: &'a str, ending: &'a Ending) -> Answer<'a> {
+impl<'a> ResponseFormat<'a> {
+    /// Returns a complete response.
+    pub fn complete(self, text: &'a str, ending: &'a Ending) -> Answer<'a> {
         let object = if self.chat {
             "chat.completion"
         } else {
@@ -198,27 +198,27 @@
         self.answer(object, choice, Some(ending.into()))
     }
 
-    /// A chunk with one token.
+    /// Returns a chunk with one token.
     pub fn token(self, text: &'a str) -> Answer<'a> {
         let choice = Choice {
             delta: self.chat.then_some(chat_message(text)),
             text: (!self.chat).then_some(text),
             ..Choice::finished(None)
         };
-        self.answer(self.chunk(), choice, None)
+        self.answer(self.chunk_object(), choice, None)
     }
 
-    /// The last chunk.
+    /// Returns the last chunk.
     pub fn end(self, ending: &'a Ending) -> Answer<'a> {
         let choice = Choice {
             delta: self.chat.then_some(chat_message("")),
             text: (!self.chat).then_some(""),
             ..Choice::finished(Some(&ending.finish_reason))
         };
-        self.answer(self.chunk(), choice, Some(ending.into()))
+        self.answer(self.chunk_object(), choice, Some(ending.into()))
     }
 
-    fn chunk(self) -> &'static str {
+    fn chunk_object(self) -> &'static str {
         if self.chat {
             "chat.completion.chunk"
         } else {
--- a/crates/jb-daemon/src/serve/completions.rs
+++ b/crates/jb-daemon/src/serve/completions.rs
@@ -1,4 +1,4 @@
-//! Chat and text completions, whole and streamed.
+//! Chat and text completions, buffered and streamed.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,8 +14,8 @@
 use poem::web::Data;
 use poem::{Body, Request, Response, handler};
 
-use super::body::{self, Shape};
-use super::caller::{self, Wishes};
+use super::body::{self, ResponseFormat};
+use super::caller::{self, RequestHeaders};
 use super::refusal;
 use crate::context::Context;
 use crate::decide::Ticket;
@@ -24,11 +24,11 @@
 use crate::stop::Guard;
 use crate::trace::Hop;
 
-/// Time in which a caller must have sent its body.
-const BODY_PATIENCE: Duration = Duration::from_secs(10);
+/// Time within which a caller must have sent the whole body.
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What a request holds until its end.
-struct Held {
+/// Guards that a request holds until its response is complete.
+struct InFlight {
     _open: Guard,
     _limit: Ticket,
     _hop: Hop,
@@ -40,18 +40,18 @@
 pub async fn completions(request: &Request, body: Body, Data(context): Data<&Arc<Context>>) -> Response {
     let id = caller::request_id(&context.settings.id);
     match begin(context, request, body, &id).await {
-        Ok((session, held)) => answer(context, session, held).await,
+        Ok((session, in_flight)) => respond(context, session, in_flight).await,
         Err(refused) => refuse(context, &refused, &id),
     }
 }
 
-/// Counts and logs a refusal, and makes its answer.
+/// Counts and logs a refusal, and returns its response.
 pub fn refuse(context: &Context, refused: &Refusal, id: &str) -> Response {
-    note_refusal(context, refused, id);
+    record_refusal(context, refused, id);
     refusal::answer(&refusal::document(refused, id))
 }
 
-fn note_refusal(context: &Context, refused: &Refusal, id: &str) {
+fn record_refusal(context: &Context, refused: &Refusal, id: &str) {
     context.metrics.refuse(refused.kind());
     emit!(context.logger, info, event::REQUEST_REFUSED,
         "request" => id, "kind" => refused.kind().code(), "why" => refused.detail());
@@ -62,7 +62,7 @@
     request: &Request,
     body: Body,
     id: &str,
-) -> Result<(Session, Held), Refusal> {
+) -> Result<(Session, InFlight), Refusal> {
     let call = Call::new(id.to_owned(), false);
     let started = Instant::now();
     let parent = request.header(header::TRACEPARENT);
@@ -72,7 +72,7 @@
         .stop
         .enter()
         .ok_or_else(|| call.refuse(Kind::Stopping, "the box is stopping"))?;
-    let mut run = understand(context, request, body, id).await?;
+    let mut run = parse_request(context, request, body, id).await?;
     let (admitted, limit) = admit(context, &call, &run.customer, run.tokens()).await?;
     run.traceparent = hop.traceparent();
     if admitted.demoted {
@@ -82,17 +82,17 @@
     if run.once {
         claim_key(context, &call, &run.customer, &run.route.service, key, id).await?;
     }
-    let held = Held {
+    let in_flight = InFlight {
         _open: open,
         _limit: limit,
         _hop: hop,
         started,
     };
-    Ok((Session::new(Arc::clone(context), run), held))
+    Ok((Session::new(Arc::clone(context), run), in_flight))
 }
 
-/// Reads headers and body, and finds customer, route and service.
-async fn understand(
+/// Parses headers and body, and resolves customer, route and service.
+async fn parse_request(
     context: &Context,
     request: &Request,
     body: Body,
@@ -105,9 +105,9 @@
     }
     let customer = caller::customer(request, &view)
         .ok_or_else(|| call.refuse(Kind::Unauthenticated, "no customer has this key"))?;
-    let wishes = caller::wishes(request).map_err(|e| call.refuse(Kind::Malformed, e.to_string()))?;
-    let most = view.routes.values().map(|r| r.max_body_bytes).max().unwrap_or(0);
-    let bytes = read_body(&call, body, most).await?;
+    let headers = caller::read_headers(request).map_err(|e| call.refuse(Kind::Malformed, e.to_string()))?;
+    let max_bytes = view.routes.values().map(|r| r.max_body_bytes).max().unwrap_or(0);
+    let bytes = read_body(&call, body, max_bytes).await?;
     let endpoint = request.uri().path().to_owned();
     let parsed = body::parse(&endpoint, &bytes).map_err(|e| call.refuse(Kind::Malformed, e.to_string()))?;
     let resolved = resolve(&view, &customer.id, &parsed).ok_or_else(|| {
@@ -123,13 +123,13 @@
             format!("the route takes at most {limit} bytes"),
         ));
     }
-    let Wishes {
+    let RequestHeaders {
         once,
         class,
         deadline,
         traceparent,
         ..
-    } = wishes;
+    } = headers;
     Ok(RunRequest {
         id: id.to_owned(),
         customer: customer.id.clone(),
@@ -149,17 +149,17 @@
     })
 }
 
-/// Reads a body of at most `most` bytes from a caller that may be slow.
+/// Reads a body of at most `max_bytes` bytes, with a timeout against slow callers.
 pub async fn read_body(
     call: &Call<jb_policy::call::Unsent>,
     body: Body,
-    most: u32,
+    max_bytes: u32,
 ) -> Result<Bytes, Refusal> {
-    let read = tokio::time::timeout(BODY_PATIENCE, body.into_bytes_limit(most as usize)).await;
+    let read = tokio::time::timeout(BODY_READ_TIMEOUT, body.into_bytes_limit(max_bytes as usize)).await;
     match read {
         Err(_) => Err(call.refuse(Kind::Malformed, "the body did not come in time")),
         Ok(Err(poem::error::ReadBodyError::PayloadTooLarge)) => {
-            Err(call.refuse(Kind::BodyTooLarge, format!("at most {most} bytes are taken")))
+            Err(call.refuse(Kind::BodyTooLarge, format!("at most {max_bytes} bytes are taken")))
         }
         Ok(Err(error)) => Err(call.refuse(Kind::Malformed, error.to_string())),
         Ok(Ok(bytes)) => Ok(bytes),
@@ -182,9 +182,9 @@
     }
 }
 
-/// Claims a request that runs at most once under the caller's key.
+/// Claims the idempotency key of a request that may run at most once.
 ///
-/// Without a key there is no resend to guard against, only this one sending.
+/// Without a key a resend cannot be recognized, so nothing is claimed.
 pub async fn claim_key(
     context: &Context,
     call: &Call<jb_policy::call::Unsent>,
@@ -196,44 +196,49 @@
     let Some(key) = key else {
         return Ok(());
     };
-    let wish = Reservation {
+    let reservation = Reservation {
         key: idempotency::key(customer, service, key),
         owner: jb_policy::rendezvous::name_hash(id),
     };
-    match context.claims.claim(wish).await {
+    match context.claims.claim(reservation).await {
         Ok(Decision::Granted) => Ok(()),
-        // Whoever holds the claim may have run the request.
+        // The holder of the claim may have run the request.
         Ok(Decision::Duplicate) => Err(call.refuse_duplicate("a request with this key came before")),
         Ok(Decision::Full) => Err(call.refuse(Kind::ClaimUnavailable, "too many claims are remembered")),
         Err(error) => Err(call.refuse(Kind::ClaimUnavailable, error.to_string())),
     }
 }
 
-async fn answer(context: &Arc<Context>, mut session: Session, held: Held) -> Response {
+async fn respond(context: &Arc<Context>, mut session: Session, in_flight: InFlight) -> Response {
     let id = session.request().id.clone();
-    // The status depends on the first delivery, so nothing is sent before it.
+    // The HTTP status depends on the first delivery, so nothing is sent before it.
     let first = match session.next().await {
         Ok(first) => first,
         Err(refused) => return refuse(context, &refused, &id),
     };
-    context.metrics.first(held.started.elapsed());
+    context.metrics.first(in_flight.started.elapsed());
     if session.request().parsed.stream {
-        streamed(Arc::clone(context), session, held, first)
+        respond_streamed(Arc::clone(context), session, in_flight, first)
     } else {
-        whole(context, session, held, first).await
+        respond_buffered(context, session, in_flight, first).await
     }
 }
 
-fn shape(session: &Session) -> Shape<'_> {
+fn response_format(session: &Session) -> ResponseFormat<'_> {
     let request = session.request();
-    Shape {
+    ResponseFormat {
         chat: request.endpoint == body::CHAT,
         id: &request.id,
         model: &request.parsed.model,
     }
 }
 
-async fn whole(context: &Context, mut session: Session, held: Held, first: Delivery) -> Response {
+async fn respond_buffered(
+    context: &Context,
+    mut session: Session,
+    in_flight: InFlight,
+    first: Delivery,
+) -> Response {
     let mut text = String::new();
     let mut delivery = first;
     let ending = loop {
@@ -243,9 +248,9 @@
         }
         delivery = match session.next().await {
             Ok(delivery) => delivery,
-            // Nothing was delivered to this caller, whatever ran.
+            // The response is buffered, so the caller has received nothing even if tokens were generated.
             Err(refused) => {
-                note_refusal(context, &refused, &session.request().id);
+                record_refusal(context, &refused, &session.request().id);
                 let mut document = refusal::document(&refused, &session.request().id);
                 if document.outcome == Outcome::RanPartly {
                     document.outcome = Outcome::MayHaveRun;
@@ -254,8 +259,8 @@
             }
         };
     };
-    completed(context, &session, &held, &ending);
-    let body = serde_json::to_vec(&shape(&session).whole(&text, &ending)).unwrap_or_default();
+    record_completion(context, &session, &in_flight, &ending);
+    let body = serde_json::to_vec(&response_format(&session).complete(&text, &ending)).unwrap_or_default();
     Response::builder()
         .content_type("application/json")
         .header(header::REQUEST_ID, &session.request().id)
@@ -263,17 +268,23 @@
         .body(body)
 }
 
-fn streamed(context: Arc<Context>, mut session: Session, held: Held, first: Delivery) -> Response {
+fn respond_streamed(
+    context: Arc<Context>,
+    mut session: Session,
+    in_flight: InFlight,
+    first: Delivery,
+) -> Response {
     let id = session.request().id.clone();
     let events = stream! {
-        let held = held;
+        let in_flight = in_flight;
         let mut delivery = first;
         loop {
             match &delivery {
-                Delivery::Token { text, .. } => yield Ok::<_, std::io::Error>(data(&shape(&session).token(text))),
+                Delivery::Token { text, .. } =>
+                    yield Ok::<_, std::io::Error>(sse_event(&response_format(&session).token(text))),
                 Delivery::Ended(ending) => {
-                    completed(&context, &session, &held, ending);
-                    yield Ok(data(&shape(&session).end(ending)));
+                    record_completion(&context, &session, &in_flight, ending);
+                    yield Ok(sse_event(&response_format(&session).end(ending)));
                     yield Ok(Bytes::from_static(b"data: [DONE]\n\n"));
                     return;
                 }
@@ -281,7 +292,7 @@
             delivery = match session.next().await {
                 Ok(delivery) => delivery,
                 Err(refused) => {
-                    note_refusal(&context, &refused, &session.request().id);
+                    record_refusal(&context, &refused, &session.request().id);
                     let document = refusal::document(&refused, &session.request().id);
                     let mut event = b"event: error\ndata: ".to_vec();
                     event.extend_from_slice(&refusal::json(&document));
@@ -299,18 +310,18 @@
         .body(Body::from_bytes_stream(events))
 }
 
-fn data(answer: &body::Answer<'_>) -> Bytes {
+fn sse_event(answer: &body::Answer<'_>) -> Bytes {
     let mut event = b"data: ".to_vec();
     event.extend_from_slice(&serde_json::to_vec(answer).unwrap_or_default());
     event.extend_from_slice(b"\n\n");
     Bytes::from(event)
 }
 
-fn completed(context: &Context, session: &Session, held: &Held, ending: &Ending) {
+fn record_completion(context: &Context, session: &Session, in_flight: &InFlight, ending: &Ending) {
     context.metrics.completed.inc();
     let request = session.request();
     emit!(context.logger, debug, event::REQUEST_ENDED,
         "request" => &request.id, "customer" => &request.customer, "route" => &request.route.id,
         "upstream" => &ending.engine, "prompt_tokens" => ending.prompt_tokens,
-        "cached_tokens" => ending.cached_tokens, "ms" => held.started.elapsed().as_secs_f64() * 1e3);
+        "cached_tokens" => ending.cached_tokens, "ms" => in_flight.started.elapsed().as_secs_f64() * 1e3);
 }
--- a/crates/jb-daemon/src/serve/health.rs
+++ b/crates/jb-daemon/src/serve/health.rs
@@ -1,4 +1,4 @@
-//! Health, readiness and metrics.
+//! Endpoints for liveness, readiness and metrics.
 
 use std::sync::Arc;
 
@@ -8,13 +8,13 @@
 
 use crate::context::Context;
 
-/// Answers as long as the process runs.
+/// Answers 200 as long as the process runs.
 #[handler]
 pub fn healthz() -> &'static str {
     "ok\n"
 }
 
-/// Answers 200 when the box serves, 503 before and while it stops.
+/// Answers 200 when the box serves requests, 503 before its first tree is loaded and while it stops.
 #[handler]
 pub fn readyz(Data(context): Data<&Arc<Context>>) -> Response {
     let reason = if context.stop.is_stopping() {
@@ -29,7 +29,7 @@
         .body(reason)
 }
 
-/// The metrics in the Prometheus text format.
+/// Returns the metrics in the OpenMetrics text format.
 #[handler]
 pub fn metrics(Data(context): Data<&Arc<Context>>) -> Response {
     let depth = i64::try_from(context.ring.depth()).unwrap_or(i64::MAX);
--- a/crates/jb-daemon/src/serve/mod.rs
+++ b/crates/jb-daemon/src/serve/mod.rs
@@ -1,4 +1,4 @@
-//! Answers callers.
+//! The HTTP server for callers.
 
 pub mod body;
 mod caller;
--- a/crates/jb-daemon/src/serve/models.rs
+++ b/crates/jb-daemon/src/serve/models.rs
@@ -1,4 +1,4 @@
-//! The list of models.
+//! The model list.
 
 use std::sync::Arc;
 
--- a/crates/jb-daemon/src/serve/plain.rs
+++ b/crates/jb-daemon/src/serve/plain.rs
@@ -18,7 +18,7 @@
 use crate::context::Context;
 use crate::run::run_plain;
 
-/// Tokens that a call to a plain service counts against the rate.
+/// Tokens charged to the customer's rate limit for a call to a plain service.
 const TOKENS: u32 = 1;
 
 /// Answers `/services/{service}/{path}`.
@@ -31,7 +31,7 @@
 ) -> Response {
     let id = caller::request_id(&context.settings.id);
     match call(context, request, body, &service, &path, &id).await {
-        Ok(answer) => pass_on(context, answer, &id),
+        Ok(answer) => forward_response(context, answer, &id),
         Err(refused) => refuse(context, &refused, &id),
     }
 }
@@ -44,49 +44,57 @@
     path: &str,
     id: &str,
 ) -> Result<Answer, Refusal> {
-    let unsure = Call::new(id.to_owned(), true);
+    let provisional = Call::new(id.to_owned(), true);
     let _open = context
         .stop
         .enter()
-        .ok_or_else(|| unsure.refuse(Kind::Stopping, "the box is stopping"))?;
+        .ok_or_else(|| provisional.refuse(Kind::Stopping, "the box is stopping"))?;
     let view = context.store.view();
     if view.revision == 0 {
-        return Err(unsure.refuse(Kind::TreeMissing, "the box has not got its tree yet"));
+        return Err(provisional.refuse(Kind::TreeMissing, "the box has not got its tree yet"));
     }
     let customer = caller::customer(request, &view)
-        .ok_or_else(|| unsure.refuse(Kind::Unauthenticated, "no customer has this key"))?;
-    let wishes = caller::wishes(request).map_err(|e| unsure.refuse(Kind::Malformed, e.to_string()))?;
+        .ok_or_else(|| provisional.refuse(Kind::Unauthenticated, "no customer has this key"))?;
+    let headers =
+        caller::read_headers(request).map_err(|e| provisional.refuse(Kind::Malformed, e.to_string()))?;
     let service = plain_service(&view.services, name)
         .filter(|_| customer.may_use(name))
         .ok_or_else(|| {
-            unsure.refuse(
+            provisional.refuse(
                 Kind::UnknownPath,
                 format!("no service `{name}` for this customer"),
             )
         })?;
-    let bytes = read_body(&unsure, body, service.max_body_bytes).await?;
-    let (_, mut limit) = admit(context, &unsure, &customer.id, TOKENS).await?;
-    let once = wishes.once.unwrap_or(!is_repeatable(request.method()));
+    let bytes = read_body(&provisional, body, service.max_body_bytes).await?;
+    let (_, mut limit) = admit(context, &provisional, &customer.id, TOKENS).await?;
+    let once = headers.once.unwrap_or(!is_idempotent(request.method()));
     if once {
-        let key = wishes.key.as_deref();
-        claim_key(context, &unsure, &customer.id, name, key, id).await?;
+        let key = headers.key.as_deref();
+        claim_key(context, &provisional, &customer.id, name, key, id).await?;
     }
     let hop = context
         .traces
-        .begin("request", SpanKind::Server, wishes.traceparent.as_deref());
+        .begin("request", SpanKind::Server, headers.traceparent.as_deref());
     let query = request.uri().query().map(|q| format!("?{q}")).unwrap_or_default();
-    let onward = PlainRequest {
+    let upstream_request = PlainRequest {
         method: request.method().to_string(),
         path: format!("{path}{query}"),
         content_type: request.content_type().map(str::to_owned),
         body: bytes,
         attempt: String::new(),
         customer: customer.id.clone(),
-        idempotency_key: wishes.key,
+        idempotency_key: headers.key,
         traceparent: hop.traceparent(),
     };
-    let deadline = wishes.deadline.unwrap_or(service.silence);
-    let result = run_plain(context, service, onward, Call::new(id.to_owned(), once), deadline).await;
+    let deadline = headers.deadline.unwrap_or(service.silence);
+    let result = run_plain(
+        context,
+        service,
+        upstream_request,
+        Call::new(id.to_owned(), once),
+        deadline,
+    )
+    .await;
     if result.is_err() {
         limit.refund(TOKENS);
     }
@@ -100,15 +108,15 @@
     services.get(name).filter(|s| s.kind == service::Kind::Plain)
 }
 
-/// Methods that HTTP itself calls idempotent (RFC 9110, section 9.2.2).
-fn is_repeatable(method: &Method) -> bool {
+/// Returns whether HTTP defines the method as idempotent (RFC 9110, section 9.2.2).
+fn is_idempotent(method: &Method) -> bool {
     matches!(
         *method,
         Method::GET | Method::HEAD | Method::PUT | Method::DELETE | Method::OPTIONS
     )
 }
 
-fn pass_on(context: &Context, answer: Answer, id: &str) -> Response {
+fn forward_response(context: &Context, answer: Answer, id: &str) -> Response {
     context.metrics.completed.inc();
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut builder = Response::builder().status(status).header(header::REQUEST_ID, id);
--- a/crates/jb-daemon/src/serve/refusal.rs
+++ b/crates/jb-daemon/src/serve/refusal.rs
@@ -7,7 +7,7 @@
 use poem::Response;
 use poem::http::StatusCode;
 
-/// The document of a refusal.
+/// Returns the problem document of a refusal.
 pub fn document(refusal: &Refusal, request: &str) -> Document {
     let detail = refusal.detail().to_owned();
     let mut document = Document::new(refusal.kind(), refusal.outcome(), detail, request.to_owned());
@@ -23,18 +23,18 @@
     document
 }
 
-/// The document's JSON.
+/// Returns the problem document of a refusal as JSON.
 pub fn body(refusal: &Refusal, request: &str) -> Vec<u8> {
     json(&document(refusal, request))
 }
 
-/// The document's JSON.
+/// Serializes a problem document as JSON.
 pub fn json(document: &Document) -> Vec<u8> {
-    // A document of strings and numbers always has a JSON form.
+    // A document of strings and numbers always serializes.
     serde_json::to_vec(document).unwrap_or_default()
 }
 
-/// The answer that carries a document.
+/// Returns the HTTP response that carries a problem document.
 pub fn answer(document: &Document) -> Response {
     let status = StatusCode::from_u16(document.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut builder = Response::builder()
@@ -45,7 +45,7 @@
         builder = builder.header("retry-after", seconds);
     }
     if status == StatusCode::PAYLOAD_TOO_LARGE {
-        // The rest of the body is not read, so the connection cannot carry another request.
+        // The rest of the body is not read, so the connection cannot be reused for another request.
         builder = builder.header("connection", "close");
     }
     builder.body(json(document))
--- a/crates/jb-daemon/src/serve/routes.rs
+++ b/crates/jb-daemon/src/serve/routes.rs
@@ -1,4 +1,4 @@
-//! Paths for callers.
+//! Routes of the HTTP server for callers.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 use super::plain::plain;
 use crate::context::Context;
 
-/// Everything that callers can ask for.
+/// Returns the endpoint with all routes for callers.
 pub fn app(context: Arc<Context>) -> impl poem::IntoEndpoint {
     Route::new()
         .at(CHAT, post(completions))
