--- a/crates/jb-daemon/src/decide/message.rs
+++ b/crates/jb-daemon/src/decide/message.rs
@@ -25,7 +25,7 @@
 
 /// Selects an upstream for an attempt.
 pub struct Selection {
-    /// Service.
+    /// Service for which an upstream is selected.
     pub service: id::Service,
     /// Placement query of the request.
     pub query: Query,
@@ -37,7 +37,7 @@
 
 /// Requests the placement scores of the upstreams, for operators.
 pub struct Explanation {
-    /// Service.
+    /// Service that the message concerns.
     pub service: id::Service,
     /// Placement query of the request.
     pub query: Query,
@@ -47,9 +47,9 @@
 
 /// Reports the start of a response stream.
 pub struct Started {
-    /// Service.
+    /// Service that the message concerns.
     pub service: id::Service,
-    /// Upstream.
+    /// Upstream that the message concerns.
     pub upstream: id::Upstream,
     /// Placement query of the request.
     pub query: Arc<Query>,
@@ -74,16 +74,16 @@
 pub enum Ending {
     /// An attempt at an upstream.
     Attempt {
-        /// Service.
+        /// Service that the message concerns.
         service: id::Service,
-        /// Upstream.
+        /// Upstream that the message concerns.
         upstream: id::Upstream,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: Outcome,
     },
     /// A request that was admitted.
     Request {
-        /// Customer.
+        /// Customer that sent the request.
         customer: id::Customer,
         /// Tokens to credit to the customer because the request did not run.
         refund: u32,
@@ -106,20 +106,20 @@
     Configure(Arc<View>),
     /// A load report from an engine.
     Report {
-        /// Service.
+        /// Service that the message concerns.
         service: id::Service,
-        /// Upstream.
+        /// Upstream that the message concerns.
         upstream: id::Upstream,
-        /// The report.
+        /// Load and state as the engine reported them.
         report: Report,
     },
     /// Signals in the headers of an upstream's response.
     Signals {
-        /// Service.
+        /// Service that the message concerns.
         service: id::Service,
-        /// Upstream.
+        /// Upstream that the message concerns.
         upstream: id::Upstream,
-        /// Signals.
+        /// Parsed signal headers.
         signals: Signals,
         /// Permit under which the request was sent.
         permit: Permit,
@@ -135,7 +135,7 @@
 /// State of one service in the own hall.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceSummary {
-    /// Service.
+    /// Service that the summary describes.
     pub service: id::Service,
     /// Summary that is exchanged between halls.
     pub summary: Summary,
