--- a/crates/jb-daemon/src/admin/edit.rs
+++ b/crates/jb-daemon/src/admin/edit.rs
@@ -17,7 +17,7 @@
 use crate::serve::refusal;
 
 /// Longest edit.
-const MOST_BYTES: usize = 4 << 20;
+const MAX_EDIT_BYTES: usize = 4 << 20;
 
 /// The tree in force.
 #[handler]
@@ -33,8 +33,8 @@
 
 /// Commits an edit.
 #[handler]
-pub async fn accept_edit(body: Body, Data(context): Data<&Arc<Context>>) -> Response {
-    let bytes = match body.into_bytes_limit(MOST_BYTES).await {
+pub async fn commit_edit(body: Body, Data(context): Data<&Arc<Context>>) -> Response {
+    let bytes = match body.into_bytes_limit(MAX_EDIT_BYTES).await {
         Ok(bytes) => bytes,
         Err(error) => return refuse(Kind::Malformed, error.to_string(), ""),
     };
--- a/crates/jb-daemon/src/admin/explain.rs
+++ b/crates/jb-daemon/src/admin/explain.rs
@@ -34,7 +34,7 @@
         return refusal::answer(&refusal::document(&refused, ""));
     };
     let family = resolved.chain.family;
-    let ask = Query {
+    let query = Query {
         chain: resolved.chain.as_ref().clone(),
         class: resolved.route.priority,
         deadline: resolved.route.deadline,
@@ -42,12 +42,12 @@
     };
     let weighing = context
         .ring
-        .explain(&resolved.service.id, &ask)
+        .explain(&resolved.service.id, &query)
         .await
         .unwrap_or_default();
     json(&Explanation {
         service: resolved.service.id,
-        prompt_tokens: ask.chain.tokens,
+        prompt_tokens: query.chain.tokens,
         family_tokens: family.tokens,
         point: hall::point(&resolved.route.id, family.hash),
         hall: hall::assigned(&resolved.route, family.hash)
--- a/crates/jb-daemon/src/admin/routes.rs
+++ b/crates/jb-daemon/src/admin/routes.rs
@@ -10,7 +10,7 @@
     post,
 };
 
-use super::edit::{accept_edit, begin_drain, show_tree};
+use super::edit::{begin_drain, commit_edit, show_tree};
 use super::explain::explain;
 use super::status::status;
 use crate::context::Context;
@@ -21,44 +21,44 @@
     let key = Digest::parse(&context.settings.admin_key);
     Route::new()
         .at("/admin/tree", get(show_tree))
-        .at("/admin/edit", post(accept_edit))
+        .at("/admin/edit", post(commit_edit))
         .at("/admin/status", get(status))
         .at("/admin/explain", post(explain))
         .at("/admin/drain", post(begin_drain))
         .data(context)
-        .with(Lock { key })
+        .with(KeyCheck { key })
         .into_endpoint()
 }
 
 /// Lets in who shows the operators' key, or everybody where none is set.
-struct Lock {
+struct KeyCheck {
     key: Option<Digest>,
 }
 
-struct Locked<E> {
+struct KeyChecked<E> {
     key: Option<Digest>,
     inner: E,
 }
 
-impl<E: Endpoint> Middleware<E> for Lock {
-    type Output = Locked<E>;
+impl<E: Endpoint> Middleware<E> for KeyCheck {
+    type Output = KeyChecked<E>;
 
-    fn transform(&self, inner: E) -> Locked<E> {
-        Locked { key: self.key, inner }
+    fn transform(&self, inner: E) -> KeyChecked<E> {
+        KeyChecked { key: self.key, inner }
     }
 }
 
-impl<E: Endpoint> Endpoint for Locked<E> {
+impl<E: Endpoint> Endpoint for KeyChecked<E> {
     type Output = Response;
 
     async fn call(&self, request: Request) -> poem::Result<Response> {
         let presented = request
             .header("authorization")
             .and_then(|h| h.strip_prefix("Bearer "));
-        let open = self
+        let is_authorized = self
             .key
             .is_none_or(|key| presented.is_some_and(|presented| Digest::of(presented).matches(&key)));
-        if !open {
+        if !is_authorized {
             let refused =
                 Call::new(String::new(), false).refuse(Kind::Unauthenticated, "not the operators' key");
             return Ok(refusal::answer(&refusal::document(&refused, "")));
--- a/crates/jb-daemon/src/admin/status.rs
+++ b/crates/jb-daemon/src/admin/status.rs
@@ -23,7 +23,7 @@
 /// The state of the box.
 #[handler]
 pub async fn status(Data(context): Data<&Arc<Context>>) -> Response {
-    let mut me = show(context.directory.me());
+    let mut me = show(context.directory.local());
     me.revision = context.store.revision();
     me.leaving = context.stop.is_stopping();
     let summaries = context.ring.summarize().await.unwrap_or_default();
--- a/crates/jb-daemon/src/claims.rs
+++ b/crates/jb-daemon/src/claims.rs
@@ -18,37 +18,37 @@
 use crate::emit;
 
 /// Claims that may wait.
-const WAITING: usize = 4096;
+const QUEUE_CAPACITY: usize = 4096;
 /// Claims taken into one write.
-const BATCH: usize = 256;
+const MAX_BATCH: usize = 256;
 /// Times that a batch is tried against other writers or lost answers.
-const TRIES: u32 = 6;
+const MAX_ATTEMPTS: u32 = 6;
 
-/// No verdict: the platform is out, or the ring is full. The claim may be
+/// No decision: the platform is out, or the ring is full. The claim may be
 /// written all the same, which only means that nobody else gets it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the claim could not be written")]
 pub struct Unavailable;
 
-struct Waiting {
-    wish: Reservation,
+struct Pending {
+    reservation: Reservation,
     reply: oneshot::Sender<Result<Decision, Unavailable>>,
 }
 
 /// Sending end of the ring to the claims.
 #[derive(Clone)]
 pub struct Ring {
-    sender: mpsc::Sender<Waiting>,
+    sender: mpsc::Sender<Pending>,
 }
 
-/// Receiving end, to be given to [`work`].
+/// Receiving end, to be given to [`run`].
 pub struct Inbox {
-    receiver: mpsc::Receiver<Waiting>,
+    receiver: mpsc::Receiver<Pending>,
 }
 
 /// Makes the ring.
 pub fn ring() -> (Ring, Inbox) {
-    let (sender, receiver) = mpsc::channel(WAITING);
+    let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
     (Ring { sender }, Inbox { receiver })
 }
 
@@ -56,87 +56,88 @@
     /// Claims a key.
     ///
     /// # Errors
-    /// [`Unavailable`] when no verdict could be had.
-    pub async fn claim(&self, wish: Reservation) -> Result<Decision, Unavailable> {
+    /// [`Unavailable`] when no decision could be had.
+    pub async fn claim(&self, reservation: Reservation) -> Result<Decision, Unavailable> {
         let (reply, answer) = oneshot::channel();
         self.sender
-            .try_send(Waiting { wish, reply })
+            .try_send(Pending { reservation, reply })
             .map_err(|_| Unavailable)?;
         answer.await.map_err(|_| Unavailable)?
     }
 }
 
 /// Writes claims for as long as the box runs.
-pub async fn work(mut inbox: Inbox, platform: Arc<dyn Platform>, logger: Logger) {
-    let mut batch = Vec::with_capacity(BATCH);
-    while inbox.receiver.recv_many(&mut batch, BATCH).await > 0 {
-        let mut shards: BTreeMap<u32, Vec<Waiting>> = BTreeMap::new();
-        for waiting in batch.drain(..) {
+pub async fn run(mut inbox: Inbox, platform: Arc<dyn Platform>, logger: Logger) {
+    let mut batch = Vec::with_capacity(MAX_BATCH);
+    while inbox.receiver.recv_many(&mut batch, MAX_BATCH).await > 0 {
+        let mut shards: BTreeMap<u32, Vec<Pending>> = BTreeMap::new();
+        for pending in batch.drain(..) {
             shards
-                .entry(idempotency::shard_of(waiting.wish.key))
+                .entry(idempotency::shard_of(pending.reservation.key))
                 .or_default()
-                .push(waiting);
+                .push(pending);
         }
         let writes = shards
             .into_iter()
-            .map(|(shard, waiting)| settle(shard, waiting, platform.as_ref(), &logger));
+            .map(|(shard, pending)| commit_shard(shard, pending, platform.as_ref(), &logger));
         futures_util::future::join_all(writes).await;
     }
 }
 
-async fn settle(shard: u32, waiting: Vec<Waiting>, platform: &dyn Platform, logger: &Logger) {
-    let wishes: Vec<Reservation> = waiting.iter().map(|w| w.wish).collect();
-    let result = write(shard, &wishes, platform).await;
+async fn commit_shard(shard: u32, pending: Vec<Pending>, platform: &dyn Platform, logger: &Logger) {
+    let reservations: Vec<Reservation> = pending.iter().map(|p| p.reservation).collect();
+    let result = write_with_retries(shard, &reservations, platform).await;
     if let Err(error) = &result {
         emit!(logger, warn, event::CLAIM_FAILED, "shard" => shard, "why" => error.to_string());
     }
     // A caller that has gone away needs no answer.
     match result {
-        Ok(verdicts) => {
-            for (waiting, verdict) in waiting.into_iter().zip(verdicts) {
-                let _ = waiting.reply.send(Ok(verdict));
+        Ok(decisions) => {
+            for (pending, decision) in pending.into_iter().zip(decisions) {
+                let _ = pending.reply.send(Ok(decision));
             }
         }
         Err(_) => {
-            for waiting in waiting {
-                let _ = waiting.reply.send(Err(Unavailable));
+            for pending in pending {
+                let _ = pending.reply.send(Err(Unavailable));
             }
         }
     }
 }
 
 /// Reads the shard, plans, and writes, until one write is known to hold.
-async fn write(shard: u32, wishes: &[Reservation], platform: &dyn Platform) -> Result<Vec<Decision>, Error> {
+async fn write_with_retries(
+    shard: u32,
+    reservations: &[Reservation],
+    platform: &dyn Platform,
+) -> Result<Vec<Decision>, Error> {
     let key = idempotency::document_name(shard);
-    let mut last = Error::Unknown("not tried".to_owned());
-    for _ in 0..TRIES {
-        match write_once(&key, wishes, platform).await {
-            Ok(Some(verdicts)) => return Ok(verdicts),
-            Ok(None) => last = Error::Unknown("other writers came first".to_owned()),
-            Err(error) => last = error,
+    let mut last_error = Error::Unknown("not tried".to_owned());
+    for _ in 0..MAX_ATTEMPTS {
+        match write_once(&key, reservations, platform).await {
+            Ok(Some(decisions)) => return Ok(decisions),
+            Ok(None) => last_error = Error::Unknown("other writers came first".to_owned()),
+            Err(error) => last_error = error,
         }
     }
-    Err(last)
+    Err(last_error)
 }
 
 async fn write_once(
     key: &str,
-    wishes: &[Reservation],
+    reservations: &[Reservation],
     platform: &dyn Platform,
 ) -> Result<Option<Vec<Decision>>, Error> {
     let value = platform.get(key).await?;
     let version = value.as_ref().map_or(0, |v| v.version);
     let body = value.map(|v| v.body).unwrap_or_default();
     let shard = Shard::decode(&body).map_err(|e| Error::Protocol(e.to_string()))?;
-    let Plan {
-        decisions: verdicts,
-        write,
-    } = shard.plan(wishes, clock::wall_s());
+    let Plan { decisions, write } = shard.plan(reservations, clock::wall_s());
     let Some(next) = write else {
-        return Ok(Some(verdicts));
+        return Ok(Some(decisions));
     };
     match platform.swap(key, version, next.encode()).await? {
-        Swap::Written(_) => Ok(Some(verdicts)),
+        Swap::Written(_) => Ok(Some(decisions)),
         Swap::Conflict => Ok(None),
     }
 }
--- a/crates/jb-daemon/src/follow/edit.rs
+++ b/crates/jb-daemon/src/follow/edit.rs
@@ -13,7 +13,7 @@
 use crate::emit;
 
 /// Times that an edit is tried against a newer tree or an unknown answer.
-const TRIES: u32 = 12;
+const MAX_ATTEMPTS: u32 = 12;
 
 /// Why an edit was not accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -44,7 +44,7 @@
 
 enum Attempt {
     Done(Accepted),
-    Again(Rejected),
+    Retry(Rejected),
 }
 
 /// Commits an edit; the same edit id takes effect once.
@@ -63,34 +63,34 @@
 }
 
 async fn commit_with_retries(context: &Context, edit: &Edit) -> Result<Accepted, Rejected> {
-    let mut last = Rejected {
+    let mut last_rejection = Rejected {
         kind: Kind::PlatformUnavailable,
         detail: "the edit was not tried".to_owned(),
     };
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         match try_once(context, edit).await? {
             Attempt::Done(accepted) => return Ok(accepted),
-            Attempt::Again(rejected) => last = rejected,
+            Attempt::Retry(rejected) => last_rejection = rejected,
         }
     }
-    Err(last)
+    Err(last_rejection)
 }
 
 async fn try_once(context: &Context, edit: &Edit) -> Result<Attempt, Rejected> {
     context.metrics.platform_calls.inc();
     let value = match context.platform.get(HEAD_KEY).await {
         Ok(value) => value,
-        Err(error) => return Ok(Attempt::Again(error.into())),
+        Err(error) => return Ok(Attempt::Retry(error.into())),
     };
     let version = value.as_ref().map_or(0, |v| v.version);
     let head = read_head(value.as_ref().map(|v| v.body.as_slice()))?;
     let newest = newest_known(context);
     if head.revision < newest {
-        return put_back(context, &head, newest, version).await;
+        return restore_newer(context, &head, newest, version).await;
     }
     let fetched = match fetch(context, &head).await {
         Ok(parts) => parts,
-        Err(error) => return Ok(Attempt::Again(error.into())),
+        Err(error) => return Ok(Attempt::Retry(error.into())),
     };
     if head.has_edit(&edit.id) {
         let revision = head.revision;
@@ -105,7 +105,12 @@
 
 /// The platform came back older: the newer tree is put back before the edit,
 /// by this box if it has it.
-async fn put_back(context: &Context, head: &Head, newest: u64, version: u64) -> Result<Attempt, Rejected> {
+async fn restore_newer(
+    context: &Context,
+    head: &Head,
+    newest: u64,
+    version: u64,
+) -> Result<Attempt, Rejected> {
     let rejected = Rejected {
         kind: Kind::PlatformUnavailable,
         detail: format!(
@@ -117,8 +122,8 @@
         return Err(rejected);
     }
     Ok(match restore(context, version).await {
-        Ok(_) => Attempt::Again(rejected),
-        Err(error) => Attempt::Again(error.into()),
+        Ok(_) => Attempt::Retry(rejected),
+        Err(error) => Attempt::Retry(error.into()),
     })
 }
 
@@ -144,7 +149,7 @@
         .iter()
         .filter(|p| !head.parts.iter().any(|r| r.digest == p.digest));
     if let Err(error) = put_parts(context, new).await {
-        return Ok(Attempt::Again(error.into()));
+        return Ok(Attempt::Retry(error.into()));
     }
     let body = serde_json::to_vec(&next).map_err(|e| PlatformError::Protocol(e.to_string()))?;
     context.metrics.platform_calls.inc();
@@ -157,12 +162,12 @@
                 already: false,
             }))
         }
-        Ok(Swap::Conflict) => Ok(Attempt::Again(Rejected {
+        Ok(Swap::Conflict) => Ok(Attempt::Retry(Rejected {
             kind: Kind::EditConflict,
             detail: "other edits came first each time; send the edit again".to_owned(),
         })),
         // The write may have taken effect; the next try finds its id if so.
-        Err(error) => Ok(Attempt::Again(error.into())),
+        Err(error) => Ok(Attempt::Retry(error.into())),
     }
 }
 
@@ -175,12 +180,12 @@
 
 /// Highest revision that this box or any box it knows of has in force.
 fn newest_known(context: &Context) -> id::Revision {
-    let accepted = context
+    let highest = context
         .directory
         .alive()
         .iter()
         .map(|m| m.revision)
         .max()
         .unwrap_or(0);
-    accepted.max(context.store.revision())
+    highest.max(context.store.revision())
 }
--- a/crates/jb-daemon/src/follow/mod.rs
+++ b/crates/jb-daemon/src/follow/mod.rs
@@ -6,4 +6,4 @@
 
 pub use edit::{Rejected, commit};
 pub use platform::{follow, offer};
-pub use store::{InForce, Offer, Store};
+pub use store::{ActiveTree, Offer, Store};
--- a/crates/jb-daemon/src/follow/platform.rs
+++ b/crates/jb-daemon/src/follow/platform.rs
@@ -14,75 +14,79 @@
 use crate::emit;
 
 /// Time for which one watch waits.
-const WATCH: Duration = Duration::from_secs(20);
-/// First pause after a failure; it doubles up to the longest.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
+/// First backoff after a failure; it doubles up to the longest.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Follows the head for as long as the box runs.
 pub async fn follow(context: Arc<Context>) {
-    let mut pause = FIRST_PAUSE;
-    let mut known = 0;
-    let mut lost = false;
+    let mut backoff = MIN_BACKOFF;
+    let mut known_version = 0;
+    let mut is_unreachable = false;
     loop {
-        match step(&context, known).await {
+        match watch_once(&context, known_version).await {
             Ok(version) => {
-                if std::mem::take(&mut lost) {
+                if std::mem::take(&mut is_unreachable) {
                     emit!(context.logger, info, event::PLATFORM_FOUND);
                 }
-                pause = FIRST_PAUSE;
+                backoff = MIN_BACKOFF;
                 if version == 0 {
-                    tokio::time::sleep(pause).await;
+                    tokio::time::sleep(backoff).await;
                 }
-                known = version;
+                known_version = version;
             }
             Err(error) => {
-                if !std::mem::replace(&mut lost, true) {
+                if !std::mem::replace(&mut is_unreachable, true) {
                     emit!(context.logger, warn, event::PLATFORM_LOST, "why" => error.to_string());
                 }
-                known = 0;
-                tokio::time::sleep(pause).await;
-                pause = (pause * 2).min(LONGEST_PAUSE);
+                known_version = 0;
+                tokio::time::sleep(backoff).await;
+                backoff = (backoff * 2).min(MAX_BACKOFF);
             }
         }
     }
 }
 
 /// One watch and what follows from it; gives the version that is known now.
-async fn step(context: &Context, known: u64) -> Result<u64, Error> {
+async fn watch_once(context: &Context, known_version: u64) -> Result<u64, Error> {
     context.metrics.platform_calls.inc();
-    let value = if known == 0 {
+    let value = if known_version == 0 {
         context.platform.get(HEAD_KEY).await?
     } else {
-        match context.platform.watch(HEAD_KEY, known, WATCH).await? {
+        match context
+            .platform
+            .watch(HEAD_KEY, known_version, WATCH_TIMEOUT)
+            .await?
+        {
             Some(value) => Some(value),
             // Nothing has changed, or the value is gone: a read tells which.
-            None => return read_again(context, known).await,
+            None => return reread(context, known_version).await,
         }
     };
-    take(context, value).await
+    process_head(context, value).await
 }
 
-async fn read_again(context: &Context, known: u64) -> Result<u64, Error> {
+async fn reread(context: &Context, known_version: u64) -> Result<u64, Error> {
     context.metrics.platform_calls.inc();
     match context.platform.get(HEAD_KEY).await? {
-        Some(value) if value.version == known => Ok(known),
-        other => take(context, other).await,
+        Some(value) if value.version == known_version => Ok(known_version),
+        other => process_head(context, other).await,
     }
 }
 
-async fn take(context: &Context, value: Option<Value>) -> Result<u64, Error> {
+async fn process_head(context: &Context, value: Option<Value>) -> Result<u64, Error> {
     let Some(value) = value else {
         return restore(context, 0).await;
     };
     context.metrics.control_bytes.inc_by(value.body.len() as u64);
     let head: Head = serde_json::from_slice(&value.body).map_err(|e| Error::Protocol(e.to_string()))?;
-    let ours = context.store.revision();
-    if head.revision < ours {
-        emit!(context.logger, warn, event::TREE_OLDER, "platform" => head.revision, "ours" => ours);
+    let active_revision = context.store.revision();
+    if head.revision < active_revision {
+        emit!(context.logger, warn, event::TREE_OLDER, "platform" => head.revision, "ours" => active_revision);
         return restore(context, value.version).await;
     }
-    if head.revision > ours {
+    if head.revision > active_revision {
         let parts = fetch(context, &head).await?;
         offer(context, head, parts, "platform").await;
     }
@@ -114,7 +118,7 @@
 pub async fn offer(context: &Context, head: Head, parts: Vec<Part>, from: &str) {
     let revision = head.revision;
     match context.store.offer(head, parts) {
-        Ok(Offer::Taken) => {
+        Ok(Offer::Applied) => {
             context
                 .ring
                 .send_surely(Message::Configure(context.store.view()))
@@ -135,16 +139,16 @@
 
 /// Writes the box's newer tree over an older or missing one.
 pub(super) async fn restore(context: &Context, version: u64) -> Result<u64, Error> {
-    let ours = context.store.current();
-    if ours.head.revision == 0 {
+    let active = context.store.current();
+    if active.head.revision == 0 {
         return Ok(0);
     }
-    put_parts(context, ours.parts.values()).await?;
-    let body = serde_json::to_vec(&ours.head).map_err(|e| Error::Protocol(e.to_string()))?;
+    put_parts(context, active.parts.values()).await?;
+    let body = serde_json::to_vec(&active.head).map_err(|e| Error::Protocol(e.to_string()))?;
     context.metrics.platform_calls.inc();
     match context.platform.swap(HEAD_KEY, version, body).await? {
         Swap::Written(version) => {
-            emit!(context.logger, info, event::TREE_RESTORED, "revision" => ours.head.revision);
+            emit!(context.logger, info, event::TREE_RESTORED, "revision" => active.head.revision);
             Ok(version)
         }
         Swap::Conflict => Ok(0),
--- a/crates/jb-daemon/src/follow/store.rs
+++ b/crates/jb-daemon/src/follow/store.rs
@@ -13,7 +13,7 @@
 
 /// One revision with everything needed to serve it and to pass it on.
 #[derive(Clone, Debug, Default)]
-pub struct InForce {
+pub struct ActiveTree {
     /// The head.
     pub head: Head,
     /// The parts by digest.
@@ -28,15 +28,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Offer {
     /// It is in force now.
-    Taken,
+    Applied,
     /// The box has this revision or a newer one.
     NotNewer,
 }
 
 /// Holder of the tree in force.
 pub struct Store {
-    current: ArcSwap<InForce>,
-    offering: Mutex<()>,
+    current: ArcSwap<ActiveTree>,
+    offer_lock: Mutex<()>,
     changed: watch::Sender<id::Revision>,
 }
 
@@ -44,7 +44,7 @@
     fn default() -> Self {
         Self {
             current: ArcSwap::default(),
-            offering: Mutex::default(),
+            offer_lock: Mutex::default(),
             changed: watch::Sender::new(0),
         }
     }
@@ -52,7 +52,7 @@
 
 impl Store {
     /// The tree in force.
-    pub fn current(&self) -> Arc<InForce> {
+    pub fn current(&self) -> Arc<ActiveTree> {
         self.current.load_full()
     }
 
@@ -78,25 +78,25 @@
     /// # Errors
     /// When a part is missing or damaged, or the tree does not pass its check.
     pub fn offer(&self, head: Head, parts: Vec<Part>) -> Result<Offer, Error> {
-        let _one_at_a_time = self.offering.lock().unwrap_or_else(PoisonError::into_inner);
-        let before = self.current();
-        if head.revision <= before.head.revision {
+        let _serialized = self.offer_lock.lock().unwrap_or_else(PoisonError::into_inner);
+        let previous = self.current();
+        if head.revision <= previous.head.revision {
             return Ok(Offer::NotNewer);
         }
-        let mut all: HashMap<Digest, Part> = before.parts.clone();
+        let mut all: HashMap<Digest, Part> = previous.parts.clone();
         all.extend(parts.into_iter().map(|part| (part.digest.clone(), part)));
         all.retain(|digest, _| head.parts.iter().any(|r| r.digest == *digest));
         let tree = head::join(&head, |digest| all.get(digest).map(|part| part.body.as_slice()))?;
         check(&tree)?;
         let revision = head.revision;
         let view = Arc::new(View::compile(&tree, revision));
-        self.current.store(Arc::new(InForce {
+        self.current.store(Arc::new(ActiveTree {
             head,
             parts: all,
             tree,
             view,
         }));
         self.changed.send_replace(revision);
-        Ok(Offer::Taken)
+        Ok(Offer::Applied)
     }
 }
--- a/crates/jb-daemon/src/leader.rs
+++ b/crates/jb-daemon/src/leader.rs
@@ -17,53 +17,53 @@
 use crate::emit;
 
 /// Pause between two rounds: renewal, reading back, orders.
-const ROUND: Duration = Duration::from_secs(1);
+const ROUND_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Acts as leader whenever this box holds the lease.
-pub async fn work(context: Arc<Context>) {
+pub async fn run(context: Arc<Context>) {
     let mut state = Leader::default();
-    let mut rounds = tokio::time::interval(ROUND);
+    let mut rounds = tokio::time::interval(ROUND_INTERVAL);
     rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         rounds.tick().await;
-        renew(&context, &mut state).await;
-        give_orders(&context, &mut state).await;
+        renew_lease(&context, &mut state).await;
+        send_orders(&context, &mut state).await;
     }
 }
 
 /// Holds the lease while some service wants orders and this box is the most
 /// preferred live one; else lets it lapse.
-async fn renew(context: &Context, state: &mut Leader) {
+async fn renew_lease(context: &Context, state: &mut Leader) {
     let hall = &context.settings.hall;
-    if !wants_orders(context) || !is_preferred(context) || context.stop.is_stopping() {
-        note_lost(context, state);
+    if !has_services_with_orders(context) || !is_preferred(context) || context.stop.is_stopping() {
+        step_down(context, state);
         return;
     }
     let hold = Hold {
         holder: context.settings.id.clone(),
         ttl_ms: u64::try_from(LEASE_DURATION.as_millis()).unwrap_or(0),
     };
-    let asked_at = context.clock.now();
+    let requested_at = context.clock.now();
     context.metrics.platform_calls.inc();
     match context.platform.hold(&leader::lease_name(hall), &hold).await {
         Ok(Grant::Held(lease)) => {
-            if state.record_grant(&lease, asked_at) {
+            if state.record_grant(&lease, requested_at) {
                 emit!(context.logger, info, event::LEADER_ELECTED, "fence" => lease.fence);
             }
         }
-        Ok(Grant::Taken(_)) => note_lost(context, state),
+        Ok(Grant::Taken(_)) => step_down(context, state),
         // The lease runs on until its end; no order is given near that.
         Err(_) => {}
     }
 }
 
-fn note_lost(context: &Context, state: &mut Leader) {
+fn step_down(context: &Context, state: &mut Leader) {
     if state.step_down() {
         emit!(context.logger, info, event::LEADER_LOST);
     }
 }
 
-fn wants_orders(context: &Context) -> bool {
+fn has_services_with_orders(context: &Context) -> bool {
     context
         .store
         .view()
@@ -76,17 +76,17 @@
     let hall = &context.settings.hall;
     let own = leader::preference(hall, &context.settings.id);
     let others = context.directory.alive();
-    let mut rivals = others.iter().filter(|m| m.hall == *hall && !m.stopping);
-    rivals.all(|m| leader::preference(hall, &m.id) < own)
+    let mut candidates = others.iter().filter(|m| m.hall == *hall && !m.stopping);
+    candidates.all(|m| leader::preference(hall, &m.id) < own)
 }
 
-async fn give_orders(context: &Context, state: &mut Leader) {
+async fn send_orders(context: &Context, state: &mut Leader) {
     let view = context.store.view();
-    let ordered = view
+    let services = view
         .services
         .values()
         .filter(|s| s.orders && s.kind == Kind::Engine);
-    for service in ordered {
+    for service in services {
         for upstream in service
             .upstreams
             .iter()
@@ -95,17 +95,17 @@
             if !state.can_order(context.clock.now()) {
                 return;
             }
-            check_engine(context, state, service, upstream).await;
+            reconcile_engine(context, state, service, upstream).await;
         }
     }
 }
 
 /// Reads an engine back and orders it to what the tree wants.
-async fn check_engine(context: &Context, state: &mut Leader, service: &Service, upstream: &Upstream) {
+async fn reconcile_engine(context: &Context, state: &mut Leader, service: &Service, upstream: &Upstream) {
     let Ok(report) = context.engines.report(upstream.address).await else {
         return;
     };
-    let wanted = Desired {
+    let desired = Desired {
         upstream: upstream.id.clone(),
         model: service.model.clone(),
         weights: service.weights.clone(),
@@ -115,7 +115,7 @@
         model: report.model,
         weights: report.weights,
     };
-    let Some(PlannedOrder { order, .. }) = state.plan(&wanted, &loaded, context.clock.now()) else {
+    let Some(PlannedOrder { order, .. }) = state.plan(&desired, &loaded, context.clock.now()) else {
         return;
     };
     let outcome = match context.engines.order(upstream.address, &order).await {
--- a/crates/jb-daemon/src/log.rs
+++ b/crates/jb-daemon/src/log.rs
@@ -5,7 +5,7 @@
 use slog::{Drain as _, Logger, o};
 
 /// Messages that wait to be written; further ones are dropped and counted.
-const WAITING: usize = 4096;
+const CHANNEL_CAPACITY: usize = 4096;
 
 /// A logger that writes to standard output from a thread of its own.
 pub struct Log {
@@ -23,7 +23,7 @@
         .build();
     let drain = Mutex::new(json).fuse();
     let (drain, guard) = slog_async::Async::new(drain)
-        .chan_size(WAITING)
+        .chan_size(CHANNEL_CAPACITY)
         .build_with_guard();
     let logger = Logger::root(
         drain.fuse(),
--- a/crates/jb-daemon/src/members.rs
+++ b/crates/jb-daemon/src/members.rs
@@ -23,10 +23,10 @@
 /// Services whose load is in each probe.
 const LOADS_PER_PROBE: usize = 4;
 /// Least number of ticks between two readings of the box list.
-const TICKS_PER_LIST: u64 = 2;
+const MIN_TICKS_PER_LIST_READ: u64 = 2;
 /// Listed boxes for which one tick more is waited, because the list is read
 /// whole: its cost must not grow with the fleet.
-const LISTED_PER_TICK: u64 = 6;
+const LIST_ENTRIES_PER_TICK: u64 = 6;
 
 /// What is known of the other boxes and of their halls.
 pub struct Directory {
@@ -46,10 +46,10 @@
 
 impl Directory {
     /// A directory that knows only the box itself.
-    pub fn new(me: Member) -> Self {
+    pub fn new(local: Member) -> Self {
         Self {
             state: Mutex::new(Inner {
-                members: Members::new(me),
+                members: Members::new(local),
                 loads: HashMap::new(),
             }),
         }
@@ -60,7 +60,7 @@
     }
 
     /// The box itself as others see it.
-    pub fn me(&self) -> Member {
+    pub fn local(&self) -> Member {
         self.lock().members.local().clone()
     }
 
@@ -75,7 +75,7 @@
     }
 
     /// Notes that a box did not answer.
-    pub fn failed(&self, id: &str) -> Change {
+    pub fn note_failure(&self, id: &str) -> Change {
         self.lock().members.note_failure(id)
     }
 
@@ -91,9 +91,9 @@
                 hall: hall.clone(),
                 service: service.to_owned(),
             };
-            let known = state.loads.get(&key).cloned();
+            let received = state.loads.get(&key).cloned();
             // A hall of which nothing is known yet is worth a try.
-            known.unwrap_or(Summary {
+            received.unwrap_or(Summary {
                 hall,
                 usable: true,
                 wait_ms: 0,
@@ -106,8 +106,8 @@
     /// that decides for a service's cell first.
     pub fn boxes_for(&self, hall: &str, service: &str, cell: Cell) -> Vec<Member> {
         let state = self.lock();
-        let me = state.members.local();
-        let mut boxes: Vec<Member> = state.members.alive().chain([me]).cloned().collect();
+        let local = state.members.local();
+        let mut boxes: Vec<Member> = state.members.alive().chain([local]).cloned().collect();
         boxes.retain(|m| m.hall == hall && !m.stopping);
         boxes.sort_by_key(|m| std::cmp::Reverse(cell::preference(service, cell, &m.id)));
         boxes
@@ -137,16 +137,16 @@
     }
 
     /// Returns the updates for another box.
-    pub fn updates(&self) -> Vec<peer::Member> {
+    pub fn next_updates(&self) -> Vec<peer::Member> {
         let updates = self.lock().members.next_updates();
         updates.into_iter().map(to_wire).collect()
     }
 
-    fn beat(&self, revision: id::Revision, leaving: bool) {
-        self.lock().members.advance_heartbeat(revision, leaving);
+    fn advance_heartbeat(&self, revision: id::Revision, stopping: bool) {
+        self.lock().members.advance_heartbeat(revision, stopping);
     }
 
-    fn tick(&self, context: &Context) -> Vec<Member> {
+    fn next_probes(&self, context: &Context) -> Vec<Member> {
         self.lock().members.next_probes(context.clock.now())
     }
 }
@@ -193,15 +193,15 @@
 
 /// The own hall's state as it is sent to others: a few services at a time,
 /// in turn, so that a probe does not grow with their number.
-pub fn loads(summaries: &[ServiceSummary], turn: u64) -> Vec<ServiceLoad> {
+pub fn loads(summaries: &[ServiceSummary], round: u64) -> Vec<ServiceLoad> {
     let load = |s: &ServiceSummary| ServiceLoad {
         service: s.service.clone(),
         wait_ms: s.summary.wait_ms,
         engines: s.usable,
     };
-    let first = turn as usize * LOADS_PER_PROBE % summaries.len().max(1);
-    let in_turn = summaries.iter().cycle().skip(first);
-    in_turn
+    let first = round as usize * LOADS_PER_PROBE % summaries.len().max(1);
+    let selected = summaries.iter().cycle().skip(first);
+    selected
         .take(LOADS_PER_PROBE.min(summaries.len()))
         .map(load)
         .collect()
@@ -209,20 +209,20 @@
 
 /// Probes other boxes for as long as the box runs.
 pub async fn probe(context: Arc<Context>) {
-    let mut ticks = tokio::time::interval(context.settings.probe_every());
+    let mut ticks = tokio::time::interval(context.settings.probe_interval());
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut until_list = 0_u64;
+    let mut ticks_until_list = 0_u64;
     loop {
         ticks.tick().await;
         context
             .directory
-            .beat(context.store.revision(), context.stop.is_stopping());
-        if until_list == 0 {
+            .advance_heartbeat(context.store.revision(), context.stop.is_stopping());
+        if ticks_until_list == 0 {
             let listed = read_list(&context).await;
-            until_list = TICKS_PER_LIST.max(listed / LISTED_PER_TICK);
+            ticks_until_list = MIN_TICKS_PER_LIST_READ.max(listed / LIST_ENTRIES_PER_TICK);
         }
-        until_list -= 1;
-        probe_some(&context).await;
+        ticks_until_list -= 1;
+        probe_due(&context).await;
         let boxes = context.directory.serving_in(&context.settings.hall);
         context.metrics.boxes.set(boxes.into());
         // A number that is lost is sent again at the next tick.
@@ -231,15 +231,15 @@
 }
 
 /// Probes the boxes whose turn it is, and the seeds while nobody is known.
-async fn probe_some(context: &Arc<Context>) {
+async fn probe_due(context: &Arc<Context>) {
     let mut targets: Vec<Target> = context
         .directory
-        .tick(context)
+        .next_probes(context)
         .into_iter()
-        .filter_map(Target::of)
+        .filter_map(Target::from_member)
         .collect();
     if context.directory.alive().is_empty() {
-        let own = context.directory.me().peer_address;
+        let own = context.directory.local().peer_address;
         let seeds = context.settings.peers.iter().filter(|a| a.to_string() != own);
         targets.extend(seeds.map(|address| Target {
             id: String::new(),
@@ -259,7 +259,7 @@
 }
 
 impl Target {
-    fn of(member: Member) -> Option<Self> {
+    fn from_member(member: Member) -> Option<Self> {
         let address = member.peer_address.parse().ok()?;
         Some(Self {
             id: member.id,
@@ -270,12 +270,12 @@
 
 async fn probe_one(context: Arc<Context>, target: Target) {
     let summaries = context.ring.summarize().await.unwrap_or_default();
-    let me = context.directory.me();
+    let local = context.directory.local();
     let request = ProbeRequest {
         version: jb_wire::VERSION,
-        loads: loads(&summaries, me.heartbeat),
-        sender: Some(to_wire(me)),
-        peers_seen: context.directory.updates(),
+        loads: loads(&summaries, local.heartbeat),
+        sender: Some(to_wire(local)),
+        peers_seen: context.directory.next_updates(),
         suspects: context.quarantine.most_dangerous(context.clock.now()),
     };
     let sent = request.encoded_len();
@@ -285,23 +285,23 @@
                 .metrics
                 .control_bytes
                 .inc_by((sent + reply.encoded_len()) as u64);
-            take_reply(&context, target.address, reply).await;
+            handle_reply(&context, target.address, reply).await;
         }
         Err(_) => {
-            if context.directory.failed(&target.id) == Change::Lost {
+            if context.directory.note_failure(&target.id) == Change::Lost {
                 emit!(context.logger, warn, event::PEER_LOST, "peer" => &target.id);
             }
         }
     }
 }
 
-async fn take_reply(context: &Arc<Context>, address: SocketAddr, reply: ProbeReply) {
-    let theirs = reply.receiver.as_ref().map_or(0, |m| m.revision);
+async fn handle_reply(context: &Arc<Context>, address: SocketAddr, reply: ProbeReply) {
+    let peer_revision = reply.receiver.as_ref().map_or(0, |m| m.revision);
     context
         .directory
         .merge(context, reply.receiver, reply.peers_seen, reply.loads);
     quarantine::receive(context, &reply.suspects);
-    if theirs > context.store.revision() {
+    if peer_revision > context.store.revision() {
         fetch_tree(context, address).await;
     }
 }
@@ -337,9 +337,9 @@
     let listed = entries.len() as u64;
     let bytes = serde_json::to_vec(&entries).map_or(0, |body| body.len() as u64);
     context.metrics.control_bytes.inc_by(bytes);
-    let leaving = entries.iter().filter(|e| !e.entry && e.state == State::Leaving);
-    let leaving: Vec<id::Upstream> = leaving.map(|e| e.id.clone()).collect();
-    let _ = context.ring.send(Message::Leaving(leaving));
+    let draining = entries.iter().filter(|e| !e.entry && e.state == State::Leaving);
+    let draining: Vec<id::Upstream> = draining.map(|e| e.id.clone()).collect();
+    let _ = context.ring.send(Message::Leaving(draining));
     let now = context.clock.now();
     let mut state = context.directory.lock();
     for entry in entries.into_iter().filter(|e| e.entry) {
--- a/crates/jb-daemon/src/metrics.rs
+++ b/crates/jb-daemon/src/metrics.rs
@@ -13,8 +13,8 @@
 use prometheus_client::registry::Registry;
 
 /// Least bound of the histogram of times to the first token, in seconds.
-const FIRST_BUCKET_S: f64 = 0.001;
-const BUCKETS: u16 = 16;
+const MIN_BUCKET_S: f64 = 0.001;
+const BUCKET_COUNT: u16 = 16;
 
 /// Label with the kind of a refusal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -69,7 +69,7 @@
             failed_attempts: Counter::default(),
             resumed: Counter::default(),
             dropped_frames: Counter::default(),
-            first_token: Histogram::new(exponential_buckets(FIRST_BUCKET_S, 2.0, BUCKETS)),
+            first_token: Histogram::new(exponential_buckets(MIN_BUCKET_S, 2.0, BUCKET_COUNT)),
             open: Gauge::default(),
             ring_depth: Gauge::default(),
             dropped_hints: Counter::default(),
@@ -85,19 +85,19 @@
 
 impl Metrics {
     /// Counts a refusal.
-    pub fn refuse(&self, kind: Kind) {
+    pub fn record_refusal(&self, kind: Kind) {
         self.refused.get_or_create(&KindLabel { kind: kind.code() }).inc();
     }
 
     /// Counts a started answer.
-    pub fn start(&self, prompt_tokens: u32, cached_tokens: u32) {
+    pub fn record_start(&self, prompt_tokens: u32, cached_tokens: u32) {
         self.prompt_tokens.inc_by(prompt_tokens.into());
         self.cached_tokens.inc_by(cached_tokens.into());
     }
 
     /// Counts the time to a first token.
-    pub fn first(&self, after: Duration) {
-        self.first_token.observe(after.as_secs_f64());
+    pub fn record_first_token(&self, elapsed: Duration) {
+        self.first_token.observe(elapsed.as_secs_f64());
     }
 
     /// The text that `/metrics` answers.
--- a/crates/jb-daemon/src/peer/dial.rs
+++ b/crates/jb-daemon/src/peer/dial.rs
@@ -15,15 +15,15 @@
 use tonic::{Request, Streaming};
 
 /// Name of the metadata that carries the boxes' secret.
-pub const SECRET: &str = "x-peer-secret";
+pub const SECRET_HEADER: &str = "x-peer-secret";
 /// Time in which another box must be connected.
-const CONNECT: Duration = Duration::from_millis(700);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 /// Time in which a probe must be answered.
-const PATIENCE: Duration = Duration::from_millis(1000);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Time in which another box must begin to answer a relayed request.
-const RELAY: Duration = Duration::from_millis(2000);
+const RELAY_START_TIMEOUT: Duration = Duration::from_millis(2000);
 /// Longest message, room for a tree of 16 parts of 1 MB.
-pub const MOST_BYTES: usize = 20 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 20 << 20;
 
 /// Keeps one connection to each box it has talked with.
 pub struct Dialer {
@@ -44,10 +44,10 @@
     ///
     /// # Errors
     /// How it failed.
-    pub async fn probe(&self, at: SocketAddr, request: ProbeRequest) -> Result<ProbeReply, Failure> {
-        let mut client = self.client(at).await?;
-        let answer = timeout(PATIENCE, client.probe(self.wrap(request))).await;
-        self.finish(at, answer)
+    pub async fn probe(&self, address: SocketAddr, request: ProbeRequest) -> Result<ProbeReply, Failure> {
+        let mut client = self.client(address).await?;
+        let response = timeout(REPLY_TIMEOUT, client.probe(self.authenticate(request))).await;
+        self.unpack(address, response)
     }
 
     /// Asks a box for its tree.
@@ -56,77 +56,82 @@
     /// How it failed.
     pub async fn fetch_tree(
         &self,
-        at: SocketAddr,
+        address: SocketAddr,
         request: FetchTreeRequest,
     ) -> Result<FetchTreeReply, Failure> {
-        let mut client = self.client(at).await?;
-        let answer = timeout(PATIENCE, client.fetch_tree(self.wrap(request))).await;
-        self.finish(at, answer)
+        let mut client = self.client(address).await?;
+        let response = timeout(REPLY_TIMEOUT, client.fetch_tree(self.authenticate(request))).await;
+        self.unpack(address, response)
     }
 
     /// Has a box serve a request with its hall.
     ///
     /// # Errors
     /// How it failed; a failure to connect proves that nothing was sent.
-    pub async fn relay(&self, at: &str, request: RelayRequest) -> Result<Streaming<RelayFrame>, Failure> {
-        let at: SocketAddr = at
+    pub async fn relay(
+        &self,
+        address: &str,
+        request: RelayRequest,
+    ) -> Result<Streaming<RelayFrame>, Failure> {
+        let address: SocketAddr = address
             .parse()
             .map_err(|_| Failure::Unreachable(Denial::from_upstream("the box has no usable address")))?;
-        let mut client = self.client(at).await?;
-        let answer = timeout(RELAY, client.relay(self.wrap(request))).await;
-        self.finish(at, answer)
+        let mut client = self.client(address).await?;
+        let response = timeout(RELAY_START_TIMEOUT, client.relay(self.authenticate(request))).await;
+        self.unpack(address, response)
     }
 
-    fn finish<T>(
+    fn unpack<T>(
         &self,
-        at: SocketAddr,
-        answer: Result<Result<tonic::Response<T>, tonic::Status>, tokio::time::error::Elapsed>,
+        address: SocketAddr,
+        response: Result<Result<tonic::Response<T>, tonic::Status>, tokio::time::error::Elapsed>,
     ) -> Result<T, Failure> {
-        match answer {
-            Ok(Ok(answer)) => Ok(answer.into_inner()),
+        match response {
+            Ok(Ok(response)) => Ok(response.into_inner()),
             Ok(Err(status)) => {
-                self.forget(at);
+                self.drop_channel(address);
                 Err(Failure::Lost(status.message().to_owned()))
             }
             Err(_) => {
-                self.forget(at);
+                self.drop_channel(address);
                 Err(Failure::Silent)
             }
         }
     }
 
-    fn wrap<T>(&self, message: T) -> Request<T> {
+    fn authenticate<T>(&self, message: T) -> Request<T> {
         let mut request = Request::new(message);
-        request.metadata_mut().insert(SECRET, self.secret.clone());
+        request.metadata_mut().insert(SECRET_HEADER, self.secret.clone());
         request
     }
 
-    async fn client(&self, at: SocketAddr) -> Result<PeerClient<Channel>, Failure> {
-        let channel = match self.known(at) {
+    async fn client(&self, address: SocketAddr) -> Result<PeerClient<Channel>, Failure> {
+        let channel = match self.cached(address) {
             Some(channel) => channel,
-            None => self.connect(at).await?,
+            None => self.connect(address).await?,
         };
         Ok(PeerClient::new(channel)
-            .max_decoding_message_size(MOST_BYTES)
-            .max_encoding_message_size(MOST_BYTES))
+            .max_decoding_message_size(MAX_MESSAGE_BYTES)
+            .max_encoding_message_size(MAX_MESSAGE_BYTES))
     }
 
-    async fn connect(&self, at: SocketAddr) -> Result<Channel, Failure> {
-        let refuse = |e: tonic::transport::Error| Failure::Unreachable(Denial::from_upstream(e.to_string()));
-        let endpoint = Endpoint::from_shared(format!("http://{at}")).map_err(refuse)?;
-        let endpoint = endpoint.connect_timeout(CONNECT).tcp_nodelay(true);
-        let channel = endpoint.connect().await.map_err(refuse)?;
-        self.lock().insert(at, channel.clone());
+    async fn connect(&self, address: SocketAddr) -> Result<Channel, Failure> {
+        let unreachable =
+            |e: tonic::transport::Error| Failure::Unreachable(Denial::from_upstream(e.to_string()));
+        let endpoint = Endpoint::from_shared(format!("http://{address}")).map_err(unreachable)?;
+        let endpoint = endpoint.connect_timeout(CONNECT_TIMEOUT).tcp_nodelay(true);
+        let channel = endpoint.connect().await.map_err(unreachable)?;
+        self.lock().insert(address, channel.clone());
         Ok(channel)
     }
 
-    fn known(&self, at: SocketAddr) -> Option<Channel> {
-        self.lock().get(&at).cloned()
+    fn cached(&self, address: SocketAddr) -> Option<Channel> {
+        self.lock().get(&address).cloned()
     }
 
     /// A broken connection is made anew, so that a failure to connect shows as one.
-    fn forget(&self, at: SocketAddr) {
-        self.lock().remove(&at);
+    fn drop_channel(&self, address: SocketAddr) {
+        self.lock().remove(&address);
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<SocketAddr, Channel>> {
--- a/crates/jb-daemon/src/peer/server.rs
+++ b/crates/jb-daemon/src/peer/server.rs
@@ -23,7 +23,7 @@
 use tokio_stream::wrappers::TcpListenerStream;
 use tonic::{Request, Response, Status};
 
-use super::dial::{MOST_BYTES, SECRET};
+use super::dial::{MAX_MESSAGE_BYTES, SECRET_HEADER};
 use crate::context::Context;
 use crate::emit;
 use crate::members::{loads, to_wire};
@@ -46,8 +46,8 @@
         context,
     };
     let service = PeerServer::new(server)
-        .max_decoding_message_size(MOST_BYTES)
-        .max_encoding_message_size(MOST_BYTES);
+        .max_decoding_message_size(MAX_MESSAGE_BYTES)
+        .max_encoding_message_size(MAX_MESSAGE_BYTES);
     tonic::transport::Server::builder()
         .tcp_nodelay(true)
         .add_service(service)
@@ -58,7 +58,10 @@
 impl Server {
     /// Refuses senders without the secret or with another protocol version.
     fn check<T>(&self, request: &Request<T>, version: u32) -> Result<(), Status> {
-        let presented = request.metadata().get(SECRET).and_then(|v| v.to_str().ok());
+        let presented = request
+            .metadata()
+            .get(SECRET_HEADER)
+            .and_then(|v| v.to_str().ok());
         if !presented.is_some_and(|presented| Digest::of(presented).matches(&self.secret)) {
             emit!(self.context.logger, warn, event::PEER_REFUSED, "why" => "unknown sender");
             return Err(Status::unauthenticated("unknown sender"));
@@ -83,11 +86,11 @@
         directory.merge(&self.context, probe.sender, probe.peers_seen, probe.loads);
         quarantine::receive(&self.context, &probe.suspects);
         let summaries = self.context.ring.summarize().await.unwrap_or_default();
-        let me = directory.me();
+        let local = directory.local();
         let reply = ProbeReply {
-            loads: loads(&summaries, me.heartbeat),
-            receiver: Some(to_wire(me)),
-            peers_seen: directory.updates(),
+            loads: loads(&summaries, local.heartbeat),
+            receiver: Some(to_wire(local)),
+            peers_seen: directory.next_updates(),
             suspects: self.context.quarantine.most_dangerous(self.context.clock.now()),
         };
         let bytes = (received + reply.encoded_len()) as u64;
@@ -101,12 +104,12 @@
     ) -> Result<Response<FetchTreeReply>, Status> {
         self.check(&request, request.get_ref().version)?;
         let held = request.into_inner().held;
-        let ours = self.context.store.current();
-        if ours.head.revision == 0 {
+        let active = self.context.store.current();
+        if active.head.revision == 0 {
             return Ok(Response::new(FetchTreeReply::default()));
         }
-        let head = serde_json::to_vec(&ours.head).map_err(|e| Status::internal(e.to_string()))?;
-        let wanted = ours.parts.values().filter(|part| !held.contains(&part.digest));
+        let head = serde_json::to_vec(&active.head).map_err(|e| Status::internal(e.to_string()))?;
+        let wanted = active.parts.values().filter(|part| !held.contains(&part.digest));
         let parts = wanted.map(|part| Part {
             digest: part.digest.clone(),
             body: part.body.clone(),
@@ -123,7 +126,7 @@
         self.check(&request, request.get_ref().version)?;
         let relayed = request.into_inner();
         let context = Arc::clone(&self.context);
-        let Some(open) = context.stop.enter() else {
+        let Some(guard) = context.stop.begin_request() else {
             return Ok(Response::new(refuse(
                 &relayed,
                 Kind::Stopping,
@@ -132,7 +135,7 @@
         };
         let parent = Some(relayed.traceparent.as_str());
         let hop = context.traces.begin("relay", SpanKind::Server, parent);
-        let Some(mut request) = understand(&context, &relayed) else {
+        let Some(mut request) = parse_relayed(&context, &relayed) else {
             return Ok(Response::new(refuse(
                 &relayed,
                 Kind::UnknownModel,
@@ -141,7 +144,7 @@
         };
         request.traceparent = hop.traceparent();
         let frames = stream! {
-            let _held = (open, hop);
+            let _held = (guard, hop);
             let mut session = Session::new(context, request);
             loop {
                 let result = session.next().await;
@@ -156,7 +159,7 @@
     }
 }
 
-fn understand(context: &Context, relayed: &RelayRequest) -> Option<RunRequest> {
+fn parse_relayed(context: &Context, relayed: &RelayRequest) -> Option<RunRequest> {
     let parsed = body::parse(&relayed.endpoint, &relayed.body).ok()?;
     let view = context.store.view();
     let resolved = resolve(&view, &relayed.customer, &parsed)?;
--- a/crates/jb-daemon/src/probe.rs
+++ b/crates/jb-daemon/src/probe.rs
@@ -16,13 +16,13 @@
 const ENGINES_PER_TICK: usize = 1;
 /// Bytes of the head of a small HTTP exchange, both ways, for the count of
 /// control bytes.
-const HEAD_BYTES: u64 = 200;
+const HTTP_HEAD_BYTES: u64 = 200;
 
 /// Asks engines for as long as the box runs.
-pub async fn work(context: Arc<Context>) {
-    let mut ticks = tokio::time::interval(context.settings.report_every());
+pub async fn run(context: Arc<Context>) {
+    let mut ticks = tokio::time::interval(context.settings.report_interval());
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut turn = 0_usize;
+    let mut next = 0_usize;
     loop {
         ticks.tick().await;
         let view = context.store.view();
@@ -34,20 +34,20 @@
             .filter(|(_, u)| u.hall == context.settings.hall)
             .collect();
         let count = ENGINES_PER_TICK.min(engines.len());
-        let chosen = (0..count).map(|k| engines[(turn + k) % engines.len()]);
-        join_all(chosen.map(|(service, upstream)| ask(&context, service, upstream))).await;
-        turn = turn.wrapping_add(count);
+        let selected = (0..count).map(|k| engines[(next + k) % engines.len()]);
+        join_all(selected.map(|(service, upstream)| fetch_report(&context, service, upstream))).await;
+        next = next.wrapping_add(count);
     }
 }
 
-async fn ask(context: &Context, service: &Service, upstream: &Upstream) {
+async fn fetch_report(context: &Context, service: &Service, upstream: &Upstream) {
     // An engine that does not answer is judged by its requests alone: a
     // lost report must not turn work away from it.
     let Ok(report) = context.engines.report(upstream.address).await else {
         return;
     };
     let size = serde_json::to_vec(&report).map_or(0, |body| body.len() as u64);
-    context.metrics.control_bytes.inc_by(HEAD_BYTES + size);
+    context.metrics.control_bytes.inc_by(HTTP_HEAD_BYTES + size);
     let message = Message::Report {
         service: service.id.clone(),
         upstream: upstream.id.clone(),
--- a/crates/jb-daemon/src/quarantine.rs
+++ b/crates/jb-daemon/src/quarantine.rs
@@ -20,7 +20,7 @@
 /// Time for a connection that only shows whether an engine has ended; the next attempt waits for it
 /// where the engine gives no sign. With 50 ms, beside 40 busy processes, four engines and not three
 /// ended under one request in one run of four, in none of five with 300 ms.
-const PROBE: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time in which a process that is ending closes a connection that its system has accepted.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(50);
 /// Requests in one probe, the most dangerous first; each takes 100 bytes.
@@ -38,12 +38,12 @@
     }
 
     /// What is known of a request, which is worked out only once an engine has ended.
-    pub fn verdict(&self, content: impl FnOnce() -> Fingerprint, now: Moment) -> Verdict {
+    pub fn verdict(&self, fingerprint: impl FnOnce() -> Fingerprint, now: Moment) -> Verdict {
         let ledger = self.lock();
         if ledger.is_empty() {
             return Verdict::Unsuspected;
         }
-        ledger.verdict(content(), now)
+        ledger.verdict(fingerprint(), now)
     }
 
     /// Engines that have a suspect.
@@ -52,18 +52,18 @@
     }
 
     /// Notes that an engine gets a suspect; `false` when another try of it is under way.
-    pub fn begin(&self, content: Fingerprint, engine: EngineId, now: Moment) -> bool {
+    pub fn begin_trial(&self, fingerprint: Fingerprint, engine: EngineId, now: Moment) -> bool {
         let mut ledger = self.lock();
-        let free = !ledger.has_trial(content, now);
-        if free {
-            ledger.begin_trial(content, engine, now);
+        let is_allowed = !ledger.has_trial(fingerprint, now);
+        if is_allowed {
+            ledger.begin_trial(fingerprint, engine, now);
         }
-        free
+        is_allowed
     }
 
     /// Notes that an engine no longer has a suspect.
-    pub fn end(&self, content: Fingerprint, engine: EngineId) {
-        self.lock().end_trial(content, engine);
+    pub fn end_trial(&self, fingerprint: Fingerprint, engine: EngineId) {
+        self.lock().end_trial(fingerprint, engine);
     }
 
     /// Returns the most dangerous requests, for another box.
@@ -90,9 +90,9 @@
 }
 
 fn from_wire(received: &Suspect, now: Moment) -> Option<Row> {
-    let content = u128::from_le_bytes(received.content.as_slice().try_into().ok()?);
+    let fingerprint = u128::from_le_bytes(received.content.as_slice().try_into().ok()?);
     Some(Row {
-        fingerprint: Fingerprint(content),
+        fingerprint: Fingerprint(fingerprint),
         evidence: Evidence::from_parts(&received.ended, &received.isolated, &received.well),
         at: now.saturating_sub(Duration::from_millis(received.age_ms)),
     })
@@ -100,7 +100,7 @@
 
 /// Short name of an engine instance; one whose incarnation isn't known yet is one
 /// of its own.
-pub fn engine(upstream: &str, incarnation: Option<id::Incarnation>) -> EngineId {
+pub fn engine_id(upstream: &str, incarnation: Option<id::Incarnation>) -> EngineId {
     let instance = incarnation.unwrap_or_default();
     rendezvous::short_hash(rendezvous::weight(rendezvous::name_hash(upstream), instance))
 }
@@ -109,40 +109,46 @@
 pub fn receive(context: &Context, received: &[Suspect]) {
     let now = context.clock.now();
     for row in received.iter().filter_map(|received| from_wire(received, now)) {
-        take(context, &row);
+        merge_row(context, &row);
     }
 }
 
 /// Notes what an engine has shown of a request.
-pub fn note(context: &Context, content: Fingerprint, evidence: Evidence) {
+pub fn record(context: &Context, fingerprint: Fingerprint, evidence: Evidence) {
     let at = context.clock.now();
-    take(
+    merge_row(
         context,
         &Row {
-            fingerprint: content,
+            fingerprint,
             evidence,
             at,
         },
     );
 }
 
-fn take(context: &Context, row: &Row) {
+fn merge_row(context: &Context, row: &Row) {
     let change = context.quarantine.lock().merge(row, context.clock.now());
     let Some(change) = change.filter(|change| change.before != change.after) else {
         return;
     };
-    let content = row.fingerprint;
+    let fingerprint = row.fingerprint;
     match change.after {
-        Verdict::Unsuspected => emit!(context.logger, info, event::REQUEST_CLEARED, "content" => %content),
-        Verdict::Suspected => emit!(context.logger, warn, event::REQUEST_SUSPECTED, "content" => %content),
-        Verdict::Quarantined => emit!(context.logger, warn, event::REQUEST_POISONOUS, "content" => %content),
+        Verdict::Unsuspected => {
+            emit!(context.logger, info, event::REQUEST_CLEARED, "content" => %fingerprint)
+        }
+        Verdict::Suspected => {
+            emit!(context.logger, warn, event::REQUEST_SUSPECTED, "content" => %fingerprint)
+        }
+        Verdict::Quarantined => {
+            emit!(context.logger, warn, event::REQUEST_POISONOUS, "content" => %fingerprint)
+        }
     }
 }
 
 /// Whether an engine has ended, after a connection to it was lost: it refuses another one, while one
 /// of its neighbours, if it has any, takes one; a cut may refuse connections as well.
-pub async fn has_ended(address: SocketAddr, neighbours: &[SocketAddr]) -> bool {
-    if !timeout(PROBE, refuses(address)).await.unwrap_or(false) {
+pub async fn has_crashed(address: SocketAddr, neighbours: &[SocketAddr]) -> bool {
+    if !timeout(CONNECT_TIMEOUT, refuses(address)).await.unwrap_or(false) {
         return false;
     }
     neighbours.is_empty() || accepts_any(neighbours).await
@@ -154,8 +160,8 @@
     loop {
         let is_closed = match TcpStream::connect(address).await {
             Ok(stream) => is_closed(stream).await,
-            Err(why) if why.kind() == ErrorKind::ConnectionRefused => return true,
-            Err(why) => why.kind() == ErrorKind::ConnectionReset,
+            Err(error) if error.kind() == ErrorKind::ConnectionRefused => return true,
+            Err(error) => error.kind() == ErrorKind::ConnectionReset,
         };
         if !is_closed {
             return false;
@@ -174,5 +180,5 @@
     let connecting = addresses
         .iter()
         .map(|address| Box::pin(TcpStream::connect(address)));
-    matches!(timeout(PROBE, select_ok(connecting)).await, Ok(Ok(_)))
+    matches!(timeout(CONNECT_TIMEOUT, select_ok(connecting)).await, Ok(Ok(_)))
 }
--- a/crates/jb-daemon/src/run/attempt.rs
+++ b/crates/jb-daemon/src/run/attempt.rs
@@ -145,7 +145,9 @@
         match self.reader.accept(frame) {
             Event::Started(start) => {
                 self.cached_tokens = start.cached_tokens;
-                context.metrics.start(start.prompt_tokens, start.cached_tokens);
+                context
+                    .metrics
+                    .record_start(start.prompt_tokens, start.cached_tokens);
                 let started = Started {
                     service: self.service.clone(),
                     upstream: self.upstream.clone(),
--- a/crates/jb-daemon/src/run/plain.rs
+++ b/crates/jb-daemon/src/run/plain.rs
@@ -115,7 +115,7 @@
         let mut hop = context
             .traces
             .begin("attempt", SpanKind::Client, parent.as_deref());
-        hop.note("to", &choice.upstream);
+        hop.set_attribute("to", &choice.upstream);
         request.traceparent = hop.traceparent();
         let observed = context
             .services
--- a/crates/jb-daemon/src/run/session/isolation.rs
+++ b/crates/jb-daemon/src/run/session/isolation.rs
@@ -40,7 +40,8 @@
         }
         let now = self.context.clock.now();
         let quarantine = &self.context.quarantine;
-        let free = !quarantine.trials(now).contains(&engine) && quarantine.begin(self.content(), engine, now);
+        let free =
+            !quarantine.trials(now).contains(&engine) && quarantine.begin_trial(self.content(), engine, now);
         self.isolated = free.then_some(engine);
         free
     }
@@ -48,7 +49,7 @@
     /// The try of a suspect is over.
     pub(super) fn end_isolated(&mut self) {
         if let Some(engine) = self.isolated.take() {
-            self.context.quarantine.end(self.content(), engine);
+            self.context.quarantine.end_trial(self.content(), engine);
         }
     }
 
@@ -66,9 +67,9 @@
             .iter()
             .filter(|u| u.hall == config.hall && u.id != config.id && !self.tried.contains(&u.id));
         let neighbours: Vec<SocketAddr> = near.take(MAX_NEIGHBOURS).map(|u| u.address).collect();
-        if quarantine::has_ended(config.address, &neighbours).await {
+        if quarantine::has_crashed(config.address, &neighbours).await {
             let evidence = Evidence::from_crash(upstream.instance, self.isolated.is_some());
-            quarantine::note(&self.context, self.content(), evidence);
+            quarantine::record(&self.context, self.content(), evidence);
         }
     }
 
@@ -77,7 +78,7 @@
         if let (Some(Attempt::Engine(_)), Some(upstream)) = (&self.attempt, &self.last_engine)
             && self.verdict() != Verdict::Unsuspected
         {
-            quarantine::note(
+            quarantine::record(
                 &self.context,
                 self.content(),
                 Evidence::from_completion(upstream.instance),
--- a/crates/jb-daemon/src/run/session/pick.rs
+++ b/crates/jb-daemon/src/run/session/pick.rs
@@ -130,7 +130,7 @@
                 after: Some(refused.retry_after),
             }),
             Ok(Ok((choice, ticket))) => Ok(Target::Engine {
-                instance: quarantine::engine(&choice.upstream, choice.incarnation),
+                instance: quarantine::engine_id(&choice.upstream, choice.incarnation),
                 permit: choice.permit,
                 upstream: choice.upstream,
                 ticket,
--- a/crates/jb-daemon/src/run/session/send.rs
+++ b/crates/jb-daemon/src/run/session/send.rs
@@ -20,7 +20,7 @@
     pub(super) fn begin_hop(&mut self, target: &Target) {
         let parent = self.request.traceparent.as_deref();
         let mut hop = self.context.traces.begin("attempt", SpanKind::Client, parent);
-        hop.note(
+        hop.set_attribute(
             "to",
             match target {
                 Target::Engine { upstream, .. } => upstream,
@@ -122,7 +122,7 @@
                 Ok(())
             }
             Err(failure) => {
-                self.context.directory.failed(&peer);
+                self.context.directory.note_failure(&peer);
                 Err(failure.into())
             }
         }
--- a/crates/jb-daemon/src/serve/completions.rs
+++ b/crates/jb-daemon/src/serve/completions.rs
@@ -52,7 +52,7 @@
 }
 
 fn note_refusal(context: &Context, refused: &Refusal, id: &str) {
-    context.metrics.refuse(refused.kind());
+    context.metrics.record_refusal(refused.kind());
     emit!(context.logger, info, event::REQUEST_REFUSED,
         "request" => id, "kind" => refused.kind().code(), "why" => refused.detail());
 }
@@ -67,10 +67,10 @@
     let started = Instant::now();
     let parent = request.header(header::TRACEPARENT);
     let mut hop = context.traces.begin("request", SpanKind::Server, parent);
-    hop.note("request", id);
+    hop.set_attribute("request", id);
     let open = context
         .stop
-        .enter()
+        .begin_request()
         .ok_or_else(|| call.refuse(Kind::Stopping, "the box is stopping"))?;
     let mut run = understand(context, request, body, id).await?;
     let (admitted, limit) = admit(context, &call, &run.customer, run.tokens()).await?;
@@ -216,7 +216,7 @@
         Ok(first) => first,
         Err(refused) => return refuse(context, &refused, &id),
     };
-    context.metrics.first(held.started.elapsed());
+    context.metrics.record_first_token(held.started.elapsed());
     if session.request().parsed.stream {
         streamed(Arc::clone(context), session, held, first)
     } else {
--- a/crates/jb-daemon/src/serve/plain.rs
+++ b/crates/jb-daemon/src/serve/plain.rs
@@ -47,7 +47,7 @@
     let unsure = Call::new(id.to_owned(), true);
     let _open = context
         .stop
-        .enter()
+        .begin_request()
         .ok_or_else(|| unsure.refuse(Kind::Stopping, "the box is stopping"))?;
     let view = context.store.view();
     if view.revision == 0 {
--- a/crates/jb-daemon/src/settings.rs
+++ b/crates/jb-daemon/src/settings.rs
@@ -108,12 +108,12 @@
 
 impl Settings {
     /// Time between two probes of other boxes.
-    pub fn probe_every(&self) -> Duration {
+    pub fn probe_interval(&self) -> Duration {
         Duration::from_millis(self.probe_ms)
     }
 
     /// Time between two reports.
-    pub fn report_every(&self) -> Duration {
+    pub fn report_interval(&self) -> Duration {
         Duration::from_millis(self.report_ms)
     }
 }
@@ -135,49 +135,49 @@
 /// # Errors
 /// When a key is unknown, missing or bad; the error points at the place.
 pub fn parse(name: &str, text: &str) -> Result<Settings, Error> {
-    let refuse = |message: String, at: Option<SourceSpan>| Error::Value {
+    let error = |message: String, at: Option<SourceSpan>| Error::Value {
         message,
         text: NamedSource::new(name, text.to_owned()),
         at,
     };
     let settings: Settings =
-        toml::from_str(text).map_err(|e| refuse(e.message().to_owned(), e.span().map(Into::into)))?;
-    match fault(&settings) {
-        Some(Fault { key, message }) => Err(refuse(format!("`{key}` {message}"), find(text, key))),
+        toml::from_str(text).map_err(|e| error(e.message().to_owned(), e.span().map(Into::into)))?;
+    match validate(&settings) {
+        Some(InvalidKey { key, message }) => Err(error(format!("`{key}` {message}"), find(text, key))),
         None => Ok(settings),
     }
 }
 
-struct Fault {
+struct InvalidKey {
     key: &'static str,
     message: &'static str,
 }
 
-fn fault(settings: &Settings) -> Option<Fault> {
-    let fault = |key, message| Some(Fault { key, message });
+fn validate(settings: &Settings) -> Option<InvalidKey> {
+    let invalid = |key, message| Some(InvalidKey { key, message });
     if settings.id.is_empty() {
-        return fault("box", "is missing: give the box a name");
+        return invalid("box", "is missing: give the box a name");
     }
     if settings.hall.is_empty() {
-        return fault("hall", "is missing: name the data hall");
+        return invalid("hall", "is missing: name the data hall");
     }
     if settings.platform.port() == 0 {
-        return fault("platform", "is missing: give the address of the platform");
+        return invalid("platform", "is missing: give the address of the platform");
     }
     if settings.peer_secret.is_empty() {
-        return fault("peer_secret", "is missing: give all boxes the same secret");
+        return invalid("peer_secret", "is missing: give all boxes the same secret");
     }
     if !settings.admin_key.is_empty() && key::Digest::parse(&settings.admin_key).is_none() {
-        return fault("admin_key", "must be `sha256:` and 64 hex digits");
+        return invalid("admin_key", "must be `sha256:` and 64 hex digits");
     }
     if settings.probe_ms == 0 || settings.report_ms == 0 {
-        return fault("probe_ms", "and `report_ms` must be above 0");
+        return invalid("probe_ms", "and `report_ms` must be above 0");
     }
     if settings.ring < 16 {
-        return fault("ring", "must be at least 16");
+        return invalid("ring", "must be at least 16");
     }
     if settings.workers == 0 {
-        return fault("workers", "must be at least 1");
+        return invalid("workers", "must be at least 1");
     }
     None
 }
--- a/crates/jb-daemon/src/start.rs
+++ b/crates/jb-daemon/src/start.rs
@@ -55,27 +55,27 @@
 async fn serve_until_stopped(settings: Settings, logger: slog::Logger) -> miette::Result<()> {
     let mut terminate = signal(SignalKind::terminate()).into_diagnostic()?;
     let listeners = bind(&settings).await?;
-    let grace = Duration::from_secs(settings.stop_grace_s);
-    let context = build(settings, logger, &listeners)?;
-    announce(&context, &listeners)?;
-    start_duties(&context)?;
-    serve_on(&context, listeners);
+    let stop_grace = Duration::from_secs(settings.stop_grace_s);
+    let context = build_context(settings, logger, &listeners)?;
+    log_started(&context, &listeners)?;
+    spawn_workers(&context)?;
+    spawn_servers(&context, listeners);
     tokio::select! {
         _ = terminate.recv() => context.stop.begin(),
-        () = drained(&context) => {}
+        () = wait_until_stopping(&context) => {}
     }
     emit!(context.logger, info, event::BOX_STOPPING, "open" => context.stop.open());
     // The grace period is in the settings; what is still served after it is cut.
-    let _ = tokio::time::timeout(grace, context.stop.wait_idle()).await;
+    let _ = tokio::time::timeout(stop_grace, context.stop.wait_idle()).await;
     emit!(context.logger, info, event::BOX_STOPPED, "open" => context.stop.open());
     Ok(())
 }
 
 /// Waits until an operator has begun the stop and nothing is open any more.
-async fn drained(context: &Context) {
-    const LOOK: Duration = Duration::from_millis(50);
+async fn wait_until_stopping(context: &Context) {
+    const POLL_INTERVAL: Duration = Duration::from_millis(50);
     while !context.stop.is_stopping() {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -91,7 +91,11 @@
     })
 }
 
-fn build(settings: Settings, logger: slog::Logger, listeners: &Listeners) -> miette::Result<Arc<Context>> {
+fn build_context(
+    settings: Settings,
+    logger: slog::Logger,
+    listeners: &Listeners,
+) -> miette::Result<Arc<Context>> {
     let clock = Clock::start();
     if !clock.counts_suspensions() {
         emit!(logger, warn, event::CLOCK_STEADY);
@@ -110,16 +114,16 @@
     let (claims, inbox) = claims::ring();
     {
         let (platform, logger) = (Arc::clone(&platform), logger.clone());
-        on_thread("claims", move || claims::work(inbox, platform, logger))?;
+        spawn_thread("claims", move || claims::run(inbox, platform, logger))?;
     }
     let traces = match settings.traces {
-        Some(address) => Traces::to(address, &settings.id, &settings.hall)?,
+        Some(address) => Traces::export_to(address, &settings.id, &settings.hall)?,
         None => Traces::default(),
     };
     let dialer = Dialer::new(&settings.peer_secret)
         .ok_or_else(|| miette::miette!("`peer_secret` may hold printable ASCII characters only"))?;
     let peer_bound = listeners.peers.local_addr().into_diagnostic()?;
-    let me = Member {
+    let local = Member {
         id: settings.id.clone(),
         hall: settings.hall.clone(),
         peer_address: settings.peer_advertise.unwrap_or(peer_bound).to_string(),
@@ -137,7 +141,7 @@
         store: Store::default(),
         ring,
         claims,
-        directory: Directory::new(me),
+        directory: Directory::new(local),
         quarantine: Quarantine::default(),
         dialer,
         platform,
@@ -148,24 +152,24 @@
     }))
 }
 
-fn announce(context: &Context, listeners: &Listeners) -> miette::Result<()> {
-    let text = |listener: &TcpListener| listener.local_addr().map(|a| a.to_string()).into_diagnostic();
+fn log_started(context: &Context, listeners: &Listeners) -> miette::Result<()> {
+    let address = |listener: &TcpListener| listener.local_addr().map(|a| a.to_string()).into_diagnostic();
     emit!(context.logger, info, event::BOX_STARTED,
-        "callers" => text(&listeners.callers)?,
-        "peers" => text(&listeners.peers)?,
-        "operators" => text(&listeners.operators)?);
+        "callers" => address(&listeners.callers)?,
+        "peers" => address(&listeners.peers)?,
+        "operators" => address(&listeners.operators)?);
     Ok(())
 }
 
-fn start_duties(context: &Arc<Context>) -> miette::Result<()> {
+fn spawn_workers(context: &Arc<Context>) -> miette::Result<()> {
     let shared = Arc::clone(context);
-    on_thread("tree", move || follow::follow(shared))?;
+    spawn_thread("tree", move || follow::follow(shared))?;
     let shared = Arc::clone(context);
-    on_thread("members", move || members::probe(shared))?;
+    spawn_thread("members", move || members::probe(shared))?;
     let shared = Arc::clone(context);
-    on_thread("probe", move || probe::work(shared))?;
+    spawn_thread("probe", move || probe::run(shared))?;
     let shared = Arc::clone(context);
-    on_thread("leader", move || leader::work(shared))?;
+    spawn_thread("leader", move || leader::run(shared))?;
     let shared = Arc::clone(context);
     tokio::spawn(async move {
         let mut revisions = shared.store.subscribe();
@@ -176,7 +180,7 @@
     Ok(())
 }
 
-fn serve_on(context: &Arc<Context>, listeners: Listeners) {
+fn spawn_servers(context: &Arc<Context>, listeners: Listeners) {
     let callers = serve::app(Arc::clone(context));
     let operators = admin::app(Arc::clone(context));
     let peers = peer::serve(Arc::clone(context), listeners.peers);
@@ -190,7 +194,7 @@
 }
 
 /// Runs one duty on a thread and a runtime of its own.
-fn on_thread<F, W>(name: &str, work: W) -> miette::Result<()>
+fn spawn_thread<F, W>(name: &str, work: W) -> miette::Result<()>
 where
     W: FnOnce() -> F + Send + 'static,
     F: Future<Output = ()>,
--- a/crates/jb-daemon/src/stop.rs
+++ b/crates/jb-daemon/src/stop.rs
@@ -46,7 +46,7 @@
     ///
     /// The count is raised before the check, so that [`Stop::wait_idle`]
     /// cannot miss a request that was let in.
-    pub fn enter(self: &Arc<Self>) -> Option<Guard> {
+    pub fn begin_request(self: &Arc<Self>) -> Option<Guard> {
         self.open.fetch_add(1, Ordering::SeqCst);
         let guard = Guard {
             stop: Arc::clone(self),
--- a/crates/jb-daemon/src/trace.rs
+++ b/crates/jb-daemon/src/trace.rs
@@ -13,7 +13,7 @@
 use opentelemetry_sdk::trace::{BatchConfigBuilder, BatchSpanProcessor, SdkTracer, SdkTracerProvider, Span};
 
 /// Longest time that an ended span waits to be exported.
-const DELAY: Duration = Duration::from_secs(1);
+const EXPORT_DELAY: Duration = Duration::from_secs(1);
 const VERSION: &str = "00";
 const SAMPLED: &str = "01";
 
@@ -48,7 +48,7 @@
     ///
     /// # Errors
     /// When the exporter cannot be set up.
-    pub fn to(address: SocketAddr, id: &str, hall: &str) -> Result<Self, Error> {
+    pub fn export_to(address: SocketAddr, id: &str, hall: &str) -> Result<Self, Error> {
         let exporter = SpanExporter::builder()
             .with_http()
             .with_protocol(Protocol::HttpJson)
@@ -58,7 +58,9 @@
                 address,
                 message: e.to_string(),
             })?;
-        let config = BatchConfigBuilder::default().with_scheduled_delay(DELAY).build();
+        let config = BatchConfigBuilder::default()
+            .with_scheduled_delay(EXPORT_DELAY)
+            .build();
         let processor = BatchSpanProcessor::builder(exporter)
             .with_batch_config(config)
             .build();
@@ -107,7 +109,7 @@
     }
 
     /// Notes a fact about the hop.
-    pub fn note(&mut self, key: &'static str, value: &str) {
+    pub fn set_attribute(&mut self, key: &'static str, value: &str) {
         if let Some(span) = &mut self.span {
             span.set_attribute(KeyValue::new(key, value.to_owned()));
         }
--- a/crates/jb-daemon/tests/store.rs
+++ b/crates/jb-daemon/tests/store.rs
@@ -25,7 +25,7 @@
     let store = Store::default();
     for (revision, taken) in [(5, true), (4, false), (5, false), (6, true), (1, false)] {
         let (head, parts) = offer_of(revision, &tree(u32::try_from(revision).expect("small")));
-        let expected = if taken { Offer::Taken } else { Offer::NotNewer };
+        let expected = if taken { Offer::Applied } else { Offer::NotNewer };
         assert_eq!(
             store.offer(head, parts).expect("whole"),
             expected,
