--- a/crates/jb-daemon/src/claims.rs
+++ b/crates/jb-daemon/src/claims.rs
@@ -1,8 +1,7 @@
-//! The thread that claims requests which run at most once.
+//! Claims the idempotency keys of requests that run at most once.
 //!
-//! Claims that come while a write is on its way wait for the next one, so a
-//! box makes at most one write at a time for each shard, however many claims
-//! come.
+//! Claims that arrive during a write are batched into the next one, so a box has at most one write in
+//! flight per shard, regardless of the number of claims.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,15 +16,15 @@
 use crate::clock;
 use crate::emit;
 
-/// Claims that may wait.
+/// Maximum number of queued claims.
 const QUEUE_CAPACITY: usize = 4096;
-/// Claims taken into one write.
+/// Maximum number of claims taken from the queue at once.
 const MAX_BATCH: usize = 256;
-/// Times that a batch is tried against other writers or lost answers.
+/// Maximum number of attempts to write a batch when other writers interfere or answers are lost.
 const MAX_ATTEMPTS: u32 = 6;
 
-/// No decision: the platform is out, or the ring is full. The claim may be
-/// written all the same, which only means that nobody else gets it.
+/// No decision on a claim, because the platform is unavailable or the queue is full. The claim may have been
+/// written nevertheless; then no other request can claim the key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the claim could not be written")]
 pub struct Unavailable;
@@ -35,18 +34,18 @@
     reply: oneshot::Sender<Result<Decision, Unavailable>>,
 }
 
-/// Sending end of the ring to the claims.
+/// Sending end of the claim queue.
 #[derive(Clone)]
 pub struct Ring {
     sender: mpsc::Sender<Pending>,
 }
 
-/// Receiving end, to be given to [`run`].
+/// Receiving end of the claim queue, to be passed to [`run`].
 pub struct Inbox {
     receiver: mpsc::Receiver<Pending>,
 }
 
-/// Makes the ring.
+/// Creates the claim queue.
 pub fn ring() -> (Ring, Inbox) {
     let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
     (Ring { sender }, Inbox { receiver })
@@ -56,7 +55,7 @@
     /// Claims a key.
     ///
     /// # Errors
-    /// [`Unavailable`] when no decision could be had.
+    /// [`Unavailable`] if the queue is full or the claim could not be written.
     pub async fn claim(&self, reservation: Reservation) -> Result<Decision, Unavailable> {
         let (reply, answer) = oneshot::channel();
         self.sender
@@ -66,7 +65,7 @@
     }
 }
 
-/// Writes claims for as long as the box runs.
+/// Writes queued claims until all senders are dropped.
 pub async fn run(mut inbox: Inbox, platform: Arc<dyn Platform>, logger: Logger) {
     let mut batch = Vec::with_capacity(MAX_BATCH);
     while inbox.receiver.recv_many(&mut batch, MAX_BATCH).await > 0 {
@@ -90,7 +89,7 @@
     if let Err(error) = &result {
         emit!(logger, warn, event::CLAIM_FAILED, "shard" => shard, "why" => error.to_string());
     }
-    // A caller that has gone away needs no answer.
+    // Sending fails if the caller has disconnected; the decision is then not needed.
     match result {
         Ok(decisions) => {
             for (pending, decision) in pending.into_iter().zip(decisions) {
@@ -105,24 +104,26 @@
     }
 }
 
-/// Reads the shard, plans, and writes, until one write is known to hold.
+/// Reads the shard, plans the decisions and writes the shard, and retries until a write succeeds or the
+/// attempts are exhausted.
 async fn write_with_retries(
     shard: u32,
     reservations: &[Reservation],
     platform: &dyn Platform,
 ) -> Result<Vec<Decision>, Error> {
     let key = idempotency::document_name(shard);
-    let mut last_error = Error::Unknown("not tried".to_owned());
+    let mut last_error = Error::Unknown("no write was attempted".to_owned());
     for _ in 0..MAX_ATTEMPTS {
         match write_once(&key, reservations, platform).await {
             Ok(Some(decisions)) => return Ok(decisions),
-            Ok(None) => last_error = Error::Unknown("other writers came first".to_owned()),
+            Ok(None) => last_error = Error::Unknown("every write conflicted with another writer".to_owned()),
             Err(error) => last_error = error,
         }
     }
     Err(last_error)
 }
 
+/// Makes one attempt; returns `None` if another writer changed the shard in between.
 async fn write_once(
     key: &str,
     reservations: &[Reservation],
--- a/crates/jb-daemon/src/clock.rs
+++ b/crates/jb-daemon/src/clock.rs
@@ -1,17 +1,17 @@
-//! The time of day, for what outlives a process.
+//! Wall clock, for values that outlive the process.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Seconds since 1970 by the box's wall clock.
+/// Returns the wall-clock time in seconds since the Unix epoch.
 pub fn wall_s() -> u64 {
-    since_1970().as_secs()
+    since_epoch().as_secs()
 }
 
-/// Nanoseconds since 1970, for ids that differ from start to start.
+/// Returns the wall-clock time in nanoseconds since the Unix epoch, for ids that must differ between starts.
 pub fn wall_ns() -> u64 {
-    u64::try_from(since_1970().as_nanos()).unwrap_or(u64::MAX)
+    u64::try_from(since_epoch().as_nanos()).unwrap_or(u64::MAX)
 }
 
-fn since_1970() -> Duration {
+fn since_epoch() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
--- a/crates/jb-daemon/src/context.rs
+++ b/crates/jb-daemon/src/context.rs
@@ -1,4 +1,4 @@
-//! What the threads of a box share.
+//! State shared by the threads of a box.
 
 use std::sync::Arc;
 
@@ -19,36 +19,36 @@
 use crate::stop::Stop;
 use crate::trace::Traces;
 
-/// Shared parts of one box.
+/// State shared by the threads of one box.
 pub struct Context {
-    /// The box's settings.
+    /// Settings of the box.
     pub settings: Settings,
-    /// The clock.
+    /// Monotonic clock.
     pub clock: Clock,
-    /// The logger.
+    /// Root logger of the box.
     pub logger: Logger,
-    /// The metrics.
+    /// Prometheus metrics.
     pub metrics: Metrics,
-    /// The tree in force.
+    /// Active configuration tree.
     pub store: Store,
-    /// The ring to the decisions.
+    /// Queue to the decision thread.
     pub ring: decide::Ring,
-    /// The ring to the claims.
+    /// Queue to the thread that writes claims.
     pub claims: claims::Ring,
-    /// The other boxes.
+    /// Membership of the other boxes and their reported loads.
     pub directory: Directory,
-    /// Connections to other boxes.
+    /// gRPC connections to other boxes.
     pub dialer: Dialer,
-    /// The platform.
+    /// Client of the platform: key-value store, leases and box list.
     pub platform: Arc<dyn Platform>,
-    /// Model engines.
+    /// Client of the inference engines.
     pub engines: Arc<dyn Engine>,
-    /// Plain services.
+    /// Client of the plain HTTP services.
     pub services: Arc<dyn Plain>,
-    /// Spans.
+    /// Trace spans and their export.
     pub traces: Traces,
-    /// Requests that end engines.
+    /// Evidence on requests that crash engines.
     pub quarantine: Quarantine,
-    /// Planned stop.
+    /// Planned stop and the count of open requests.
     pub stop: Arc<Stop>,
 }
--- a/crates/jb-daemon/src/leader.rs
+++ b/crates/jb-daemon/src/leader.rs
@@ -1,5 +1,4 @@
-//! The thread that gives the hall's engines their orders, when this box is
-//! the hall's leader.
+//! Sends orders to the hall's engines while this box is the hall's leader.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,10 +15,10 @@
 use crate::context::Context;
 use crate::emit;
 
-/// Pause between two rounds: renewal, reading back, orders.
+/// Interval between two rounds; each renews the lease, reads the engines' reports and sends orders.
 const ROUND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Acts as leader whenever this box holds the lease.
+/// Competes for the lease and acts as leader while this box holds it. Never returns.
 pub async fn run(context: Arc<Context>) {
     let mut state = Leader::default();
     let mut rounds = tokio::time::interval(ROUND_INTERVAL);
@@ -31,8 +30,8 @@
     }
 }
 
-/// Holds the lease while some service wants orders and this box is the most
-/// preferred live one; else lets it lapse.
+/// Acquires or renews the lease if a service is configured to receive orders and this box is the preferred
+/// live box of the hall; otherwise steps down and lets the lease expire.
 async fn renew_lease(context: &Context, state: &mut Leader) {
     let hall = &context.settings.hall;
     if !has_services_with_orders(context) || !is_preferred(context) || context.stop.is_stopping() {
@@ -52,7 +51,7 @@
             }
         }
         Ok(Grant::Taken(_)) => step_down(context, state),
-        // The lease runs on until its end; no order is given near that.
+        // An existing lease stays valid until it expires; `can_order` stops orders shortly before that.
         Err(_) => {}
     }
 }
@@ -100,7 +99,7 @@
     }
 }
 
-/// Reads an engine back and orders it to what the tree wants.
+/// Compares an engine's report with the tree and sends the order that brings the engine to the desired state.
 async fn reconcile_engine(context: &Context, state: &mut Leader, service: &Service, upstream: &Upstream) {
     let Ok(report) = context.engines.report(upstream.address).await else {
         return;
--- a/crates/jb-daemon/src/lib.rs
+++ b/crates/jb-daemon/src/lib.rs
@@ -1,10 +1,9 @@
-//! The daemon of junctionbend.
+//! The junctionbend daemon.
 //!
-//! Every box runs the same program. Its duties run on threads of their own,
-//! joined by bounded rings: `accept` serves callers and other boxes, `decide`
-//! owns the decisions, `tree` follows the settings, `members` probes other
-//! boxes, `probe` asks engines for their load, `claims` writes claims, and `leader` gives engines
-//! their orders.
+//! Every box runs the same program. Its tasks run on dedicated threads that communicate through bounded
+//! queues: `accept` serves callers and other boxes, `decide` makes the placement and admission decisions,
+//! `tree` follows the configuration tree, `members` probes other boxes, `probe` polls engines for their
+//! reports, `claims` writes idempotency claims, and `leader` sends orders to engines.
 
 pub use jb_protocol::emit;
 
--- a/crates/jb-daemon/src/log.rs
+++ b/crates/jb-daemon/src/log.rs
@@ -1,21 +1,21 @@
-//! Structured logs with numbered events, one JSON object a line.
+//! Structured logs with numbered events, one JSON object per line.
 
 use std::sync::Mutex;
 
 use slog::{Drain as _, Logger, o};
 
-/// Messages that wait to be written; further ones are dropped and counted.
+/// Maximum number of log messages waiting to be written; further ones are dropped and counted.
 const CHANNEL_CAPACITY: usize = 4096;
 
-/// A logger that writes to standard output from a thread of its own.
+/// Logger that writes to standard output from a dedicated thread.
 pub struct Log {
-    /// The logger.
+    /// Root logger, with the box and the hall as fields.
     pub logger: Logger,
-    /// Writes what is waiting when dropped.
+    /// Writes the remaining messages when dropped.
     pub guard: slog_async::AsyncGuard,
 }
 
-/// Makes the logger of a box.
+/// Starts the logger of a box.
 pub fn start(id: &str, hall: &str) -> Log {
     let json = slog_json::Json::new(std::io::stdout())
         .add_default_keys()
--- a/crates/jb-daemon/src/main.rs
+++ b/crates/jb-daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `junctionbendd`: reads the settings and starts the box.
+//! `junctionbendd`: reads the settings and starts the daemon.
 
 use std::path::PathBuf;
 
@@ -8,7 +8,7 @@
 /// The daemon of junctionbend: one per entry box.
 #[derive(FromArgs)]
 struct Arguments {
-    /// file with the box's settings, in TOML; left out where the platform gives them
+    /// TOML file with the settings of the box; omit it if the platform provides them
     #[argh(option)]
     settings: Option<PathBuf>,
     /// check the settings and exit
@@ -19,8 +19,8 @@
 fn main() -> miette::Result<()> {
     let arguments: Arguments = argh::from_env();
     let Some(path) = arguments.settings else {
-        let help = "give --settings FILE, or run where the platform gives the settings";
-        let path = jb_site::path().ok_or_else(|| miette::miette!(help = help, "no settings"))?;
+        let help = "pass --settings FILE, or run on a platform that provides the settings";
+        let path = jb_site::path().ok_or_else(|| miette::miette!(help = help, "no settings file found"))?;
         if arguments.check {
             jb_site::read(&path)?;
             return Ok(());
--- a/crates/jb-daemon/src/members.rs
+++ b/crates/jb-daemon/src/members.rs
@@ -1,4 +1,4 @@
-//! The thread that probes other boxes, and what it has found.
+//! Probes other boxes and keeps the directory of members.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,15 +20,15 @@
 use crate::follow;
 use crate::quarantine;
 
-/// Services whose load is in each probe.
+/// Services whose load is included in each probe.
 const LOADS_PER_PROBE: usize = 4;
-/// Least number of ticks between two readings of the box list.
+/// Minimum number of ticks between two reads of the box list.
 const MIN_TICKS_PER_LIST_READ: u64 = 2;
-/// Listed boxes for which one tick more is waited, because the list is read
-/// whole: its cost must not grow with the fleet.
+/// Number of list entries that lengthens the time between two reads by one tick. The list is always
+/// read in full, so reading it less often keeps its cost per tick from growing with the fleet.
 const LIST_ENTRIES_PER_TICK: u64 = 6;
 
-/// What is known of the other boxes and of their halls.
+/// Membership and last reported service loads of the other boxes and halls.
 pub struct Directory {
     state: Mutex<Inner>,
 }
@@ -45,7 +45,7 @@
 }
 
 impl Directory {
-    /// A directory that knows only the box itself.
+    /// Creates a directory that contains only the local box.
     pub fn new(local: Member) -> Self {
         Self {
             state: Mutex::new(Inner {
@@ -59,27 +59,27 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The box itself as others see it.
+    /// Returns the local box as it is announced to others.
     pub fn local(&self) -> Member {
         self.lock().members.local().clone()
     }
 
-    /// Other boxes taken for alive.
+    /// Returns the other boxes that are considered alive.
     pub fn alive(&self) -> Vec<Member> {
         self.lock().members.alive().cloned().collect()
     }
 
-    /// Boxes that serve in a hall.
+    /// Returns the number of boxes that serve in a hall.
     pub fn serving_in(&self, hall: &str) -> u32 {
         self.lock().members.serving_in(hall)
     }
 
-    /// Notes that a box did not answer.
+    /// Records that a box did not answer a probe or a relayed request.
     pub fn note_failure(&self, id: &str) -> Change {
         self.lock().members.note_failure(id)
     }
 
-    /// Other halls that have a live box, with what is known of a service there.
+    /// Returns the other halls that have a live box, each with the last reported load of a service there.
     pub fn other_halls(&self, own: &str, service: &str) -> Vec<Summary> {
         let state = self.lock();
         let alive = state.members.alive().filter(|m| !m.stopping && m.hall != own);
@@ -92,7 +92,7 @@
                 service: service.to_owned(),
             };
             let received = state.loads.get(&key).cloned();
-            // A hall of which nothing is known yet is worth a try.
+            // A hall that has not reported yet counts as usable, so that requests can go there.
             received.unwrap_or(Summary {
                 hall,
                 usable: true,
@@ -102,8 +102,8 @@
         halls.into_iter().map(summary).collect()
     }
 
-    /// Live boxes of a hall, this one among them in its own hall, the box
-    /// that decides for a service's cell first.
+    /// Returns the live boxes of a hall, in descending order of preference for a cell of a service: the
+    /// first one makes the placement decisions for it. In the local hall, the local box is included.
     pub fn boxes_for(&self, hall: &str, service: &str, cell: Cell) -> Vec<Member> {
         let state = self.lock();
         let local = state.members.local();
@@ -113,7 +113,7 @@
         boxes
     }
 
-    /// Merges what another box knows of itself, of others, and of its hall.
+    /// Merges the membership entries and the service loads received from another box.
     pub fn merge(
         &self,
         context: &Context,
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Returns the updates for another box.
+    /// Returns the membership updates to send to another box.
     pub fn next_updates(&self) -> Vec<peer::Member> {
         let updates = self.lock().members.next_updates();
         updates.into_iter().map(to_wire).collect()
@@ -166,7 +166,7 @@
     }
 }
 
-/// A member as it goes over the wire.
+/// Converts a member to its wire format.
 pub fn to_wire(member: Member) -> peer::Member {
     peer::Member {
         id: member.id,
@@ -191,8 +191,8 @@
     }
 }
 
-/// The own hall's state as it is sent to others: a few services at a time,
-/// in turn, so that a probe does not grow with their number.
+/// Returns the service loads of the local hall to send in one probe. Services take turns, a few in each
+/// round, so that the size of a probe does not grow with the number of services.
 pub fn loads(summaries: &[ServiceSummary], round: u64) -> Vec<ServiceLoad> {
     let load = |s: &ServiceSummary| ServiceLoad {
         service: s.service.clone(),
@@ -207,7 +207,7 @@
         .collect()
 }
 
-/// Probes other boxes for as long as the box runs.
+/// Probes other boxes at the configured interval. Never returns.
 pub async fn probe(context: Arc<Context>) {
     let mut ticks = tokio::time::interval(context.settings.probe_interval());
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -225,12 +225,12 @@
         probe_due(&context).await;
         let boxes = context.directory.serving_in(&context.settings.hall);
         context.metrics.boxes.set(boxes.into());
-        // A number that is lost is sent again at the next tick.
+        // If the message is dropped, the next tick sends the number again.
         let _ = context.ring.send(Message::Boxes(boxes));
     }
 }
 
-/// Probes the boxes whose turn it is, and the seeds while nobody is known.
+/// Probes the members that are due, and also the configured seeds while no other box is known to be alive.
 async fn probe_due(context: &Arc<Context>) {
     let mut targets: Vec<Target> = context
         .directory
@@ -306,7 +306,7 @@
     }
 }
 
-/// Takes a newer tree from another box.
+/// Fetches a newer tree from another box and offers it to the store.
 async fn fetch_tree(context: &Arc<Context>, address: SocketAddr) {
     let held = context.store.current().parts.keys().cloned().collect();
     let request = FetchTreeRequest {
@@ -327,8 +327,8 @@
     follow::offer(context, head, parts.collect(), "peer").await;
 }
 
-/// Reads the box list: other boxes to probe, and upstreams that leave. Gives
-/// the number of entries.
+/// Reads the box list from the platform, merges the other boxes into the directory, and reports draining
+/// upstreams to the decision thread. Returns the number of entries, 0 if the list could not be read.
 async fn read_list(context: &Arc<Context>) -> u64 {
     context.metrics.platform_calls.inc();
     let Ok(entries) = context.platform.list().await else {
@@ -348,7 +348,8 @@
     listed
 }
 
-/// A box that is only listed has heartbeat 0: its own word counts for more.
+/// Converts a list entry to a member. It gets heartbeat 0, so that anything the box announces itself takes
+/// precedence.
 fn from_entry(entry: Entry) -> Member {
     Member {
         id: entry.id,
--- a/crates/jb-daemon/src/metrics.rs
+++ b/crates/jb-daemon/src/metrics.rs
@@ -12,49 +12,49 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-/// Least bound of the histogram of times to the first token, in seconds.
+/// Upper bound of the lowest bucket of the time-to-first-token histogram, in seconds.
 const MIN_BUCKET_S: f64 = 0.001;
 const BUCKET_COUNT: u16 = 16;
 
-/// Label with the kind of a refusal.
+/// Label set of refused requests.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct KindLabel {
-    /// Code of the kind.
+    /// Code of the error kind.
     pub kind: &'static str,
 }
 
 /// Metrics of one box.
 pub struct Metrics {
     registry: Registry,
-    /// Requests answered completely.
+    /// Requests completed.
     pub completed: Counter,
-    /// Requests refused, by kind.
+    /// Requests refused, by error kind.
     pub refused: Family<KindLabel, Counter>,
-    /// Tokens of prompts processed by engines.
+    /// Prompt tokens processed by engines.
     pub prompt_tokens: Counter,
-    /// Tokens of prompts that engines found cached.
+    /// Prompt tokens that engines found in their prefix cache.
     pub cached_tokens: Counter,
-    /// Attempts that failed.
+    /// Failed attempts at an upstream.
     pub failed_attempts: Counter,
-    /// Streams that went on at another engine.
+    /// Streams resumed on another engine.
     pub resumed: Counter,
-    /// Frames dropped because they belong to another attempt.
+    /// Stream frames dropped because they belong to a different attempt.
     pub dropped_frames: Counter,
     /// Time to the first token, in seconds.
     pub first_token: Histogram,
-    /// Requests open.
+    /// Requests in progress.
     pub open: Gauge,
-    /// Messages waiting in the ring of the decisions.
+    /// Messages in the queue to the decision thread.
     pub ring_depth: Gauge,
-    /// Hints dropped because a ring was full.
+    /// Advisory messages dropped because a queue was full.
     pub dropped_hints: Counter,
-    /// Revision of the tree in force.
+    /// Revision of the active configuration tree.
     pub revision: Gauge<i64, AtomicI64>,
-    /// Bytes sent and received for control.
+    /// Control traffic sent and received, in bytes.
     pub control_bytes: Counter<u64, AtomicU64>,
-    /// Calls made to the platform.
+    /// Calls to the platform.
     pub platform_calls: Counter,
-    /// Boxes taken for alive, this one counted.
+    /// Boxes considered alive that serve in the hall, including this one.
     pub boxes: Gauge,
 }
 
@@ -84,23 +84,23 @@
 }
 
 impl Metrics {
-    /// Counts a refusal.
+    /// Counts a refused request.
     pub fn record_refusal(&self, kind: Kind) {
         self.refused.get_or_create(&KindLabel { kind: kind.code() }).inc();
     }
 
-    /// Counts a started answer.
+    /// Adds the prompt tokens of a request that an engine has started to answer.
     pub fn record_start(&self, prompt_tokens: u32, cached_tokens: u32) {
         self.prompt_tokens.inc_by(prompt_tokens.into());
         self.cached_tokens.inc_by(cached_tokens.into());
     }
 
-    /// Counts the time to a first token.
+    /// Records the time to the first token of a request.
     pub fn record_first_token(&self, elapsed: Duration) {
         self.first_token.observe(elapsed.as_secs_f64());
     }
 
-    /// The text that `/metrics` answers.
+    /// Returns the metrics in the text format, as served at `/metrics`.
     pub fn text(&self) -> String {
         let mut out = String::new();
         // Writing to a string cannot fail.
@@ -110,39 +110,35 @@
 
     fn register(&mut self) {
         let r = &mut self.registry;
-        r.register(
-            "requests_completed",
-            "Requests answered completely",
-            self.completed.clone(),
-        );
+        r.register("requests_completed", "Requests completed", self.completed.clone());
         r.register(
             "requests_refused",
-            "Requests refused, by kind",
+            "Requests refused, by error kind",
             self.refused.clone(),
         );
         r.register(
             "prompt_tokens",
-            "Tokens of prompts processed",
+            "Prompt tokens processed by engines",
             self.prompt_tokens.clone(),
         );
         r.register(
             "cached_tokens",
-            "Tokens of prompts found cached",
+            "Prompt tokens that engines found in their prefix cache",
             self.cached_tokens.clone(),
         );
         r.register(
             "attempts_failed",
-            "Attempts that failed",
+            "Failed attempts at an upstream",
             self.failed_attempts.clone(),
         );
         r.register(
             "streams_resumed",
-            "Streams that went on at another engine",
+            "Streams resumed on another engine",
             self.resumed.clone(),
         );
         r.register(
             "frames_dropped",
-            "Frames of other attempts dropped",
+            "Stream frames dropped because they belong to a different attempt",
             self.dropped_frames.clone(),
         );
         r.register(
@@ -150,32 +146,36 @@
             "Time to the first token",
             self.first_token.clone(),
         );
-        r.register("requests_open", "Requests open", self.open.clone());
+        r.register("requests_open", "Requests in progress", self.open.clone());
         r.register(
             "ring_depth",
-            "Messages waiting in the ring of the decisions",
+            "Messages in the queue to the decision thread",
             self.ring_depth.clone(),
         );
         r.register(
             "hints_dropped",
-            "Hints dropped because a ring was full",
+            "Advisory messages dropped because a queue was full",
             self.dropped_hints.clone(),
         );
         r.register(
             "tree_revision",
-            "Revision of the tree in force",
+            "Revision of the active configuration tree",
             self.revision.clone(),
         );
         r.register(
             "control_bytes",
-            "Bytes sent and received for control",
+            "Control traffic sent and received, in bytes",
             self.control_bytes.clone(),
         );
         r.register(
             "platform_calls",
-            "Calls made to the platform",
+            "Calls to the platform",
             self.platform_calls.clone(),
         );
-        r.register("boxes", "Boxes taken for alive", self.boxes.clone());
+        r.register(
+            "boxes",
+            "Boxes considered alive that serve in the hall, including this one",
+            self.boxes.clone(),
+        );
     }
 }
--- a/crates/jb-daemon/src/probe.rs
+++ b/crates/jb-daemon/src/probe.rs
@@ -1,4 +1,4 @@
-//! The thread that asks the hall's engines for their reports.
+//! Polls the hall's engines for their reports.
 
 use std::sync::Arc;
 
@@ -10,15 +10,15 @@
 use crate::context::Context;
 use crate::decide::Message;
 
-/// Engines asked at each tick; the others wait for their turn, so that the
-/// cost of a box does not grow with the hall. The load that decides comes
-/// with each answer; a report only shows what no answer does.
+/// Engines polled at each tick. Engines take turns, so that the cost for a box does not grow with the size of
+/// the hall. The load used for placement comes with each response; a report only adds what responses don't
+/// show.
 const ENGINES_PER_TICK: usize = 1;
-/// Bytes of the head of a small HTTP exchange, both ways, for the count of
-/// control bytes.
+/// Estimated size in bytes of the heads of a small HTTP request and its response, for the count of control
+/// bytes.
 const HTTP_HEAD_BYTES: u64 = 200;
 
-/// Asks engines for as long as the box runs.
+/// Polls engines at the configured interval. Never returns.
 pub async fn run(context: Arc<Context>) {
     let mut ticks = tokio::time::interval(context.settings.report_interval());
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -41,8 +41,8 @@
 }
 
 async fn fetch_report(context: &Context, service: &Service, upstream: &Upstream) {
-    // An engine that does not answer is judged by its requests alone: a
-    // lost report must not turn work away from it.
+    // A failed report says nothing about the engine's health, which is judged by its requests alone: a lost
+    // report must not divert requests from the engine.
     let Ok(report) = context.engines.report(upstream.address).await else {
         return;
     };
--- a/crates/jb-daemon/src/quarantine.rs
+++ b/crates/jb-daemon/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Evidence on poison requests behind the completions door, exchanged with other boxes.
+//! Quarantine of poison requests on the completions endpoint. Evidence is exchanged with other boxes.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -17,16 +17,16 @@
 use crate::context::Context;
 use crate::emit;
 
-/// Time for a connection that only shows whether an engine has ended; the next attempt waits for it
-/// where the engine gives no sign. With 50 ms, beside 40 busy processes, four engines and not three
-/// ended under one request in one run of four, in none of five with 300 ms.
+/// Timeout of a connection attempt that only tests whether an engine has crashed. The next attempt of the
+/// request is delayed by it if the engine does not respond. With 50 ms, on a machine with 40 busy processes,
+/// one request crashed four engines instead of three in one of four runs; with 300 ms in none of five.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time in which a process that is ending closes a connection that its system has accepted.
+/// Time within which an exiting process closes a connection that its operating system has still accepted.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(50);
-/// Requests in one probe, the most dangerous first; each takes 100 bytes.
+/// Maximum number of suspects in one probe, the most dangerous first; each takes 100 bytes.
 const MAX_PER_PROBE: usize = 16;
 
-/// Requests that end engines.
+/// Evidence on requests that crash engines, and the trials in progress.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     ledger: Mutex<Ledger>,
@@ -37,7 +37,7 @@
         self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What is known of a request, which is worked out only once an engine has ended.
+    /// Returns the verdict on a request. The fingerprint is computed only if the ledger has any entry.
     pub fn verdict(&self, fingerprint: impl FnOnce() -> Fingerprint, now: Moment) -> Verdict {
         let ledger = self.lock();
         if ledger.is_empty() {
@@ -46,12 +46,13 @@
         ledger.verdict(fingerprint(), now)
     }
 
-    /// Engines that have a suspect.
+    /// Returns the engines that are running a suspected request.
     pub fn trials(&self, now: Moment) -> Vec<EngineId> {
         self.lock().trials(now)
     }
 
-    /// Notes that an engine gets a suspect; `false` when another try of it is under way.
+    /// Records that an engine is given a suspected request. Returns `false`, and records nothing, if another
+    /// trial of the request is in progress.
     pub fn begin_trial(&self, fingerprint: Fingerprint, engine: EngineId, now: Moment) -> bool {
         let mut ledger = self.lock();
         let is_allowed = !ledger.has_trial(fingerprint, now);
@@ -61,12 +62,12 @@
         is_allowed
     }
 
-    /// Notes that an engine no longer has a suspect.
+    /// Records that an engine is no longer running a suspected request.
     pub fn end_trial(&self, fingerprint: Fingerprint, engine: EngineId) {
         self.lock().end_trial(fingerprint, engine);
     }
 
-    /// Returns the most dangerous requests, for another box.
+    /// Returns the most dangerous requests, as many as fit in one probe, to send to another box.
     pub fn most_dangerous(&self, now: Moment) -> Vec<Suspect> {
         let mut ledger = self.lock();
         if ledger.is_empty() {
@@ -98,14 +99,14 @@
     })
 }
 
-/// Short name of an engine instance; one whose incarnation isn't known yet is one
-/// of its own.
+/// Returns the short hash that identifies an engine instance. An engine whose incarnation is not known yet
+/// counts as a separate instance.
 pub fn engine_id(upstream: &str, incarnation: Option<id::Incarnation>) -> EngineId {
     let instance = incarnation.unwrap_or_default();
     rendezvous::short_hash(rendezvous::weight(rendezvous::name_hash(upstream), instance))
 }
 
-/// Receives the evidence of another box.
+/// Merges the evidence received from another box.
 pub fn receive(context: &Context, received: &[Suspect]) {
     let now = context.clock.now();
     for row in received.iter().filter_map(|received| from_wire(received, now)) {
@@ -113,7 +114,7 @@
     }
 }
 
-/// Notes what an engine has shown of a request.
+/// Records local evidence about a request.
 pub fn record(context: &Context, fingerprint: Fingerprint, evidence: Evidence) {
     let at = context.clock.now();
     merge_row(
@@ -145,8 +146,9 @@
     }
 }
 
-/// Whether an engine has ended, after a connection to it was lost: it refuses another one, while one
-/// of its neighbours, if it has any, takes one; a cut may refuse connections as well.
+/// Returns whether an engine has crashed after a connection to it was lost: it refuses a new connection,
+/// and at least one of its neighbours, if it has any, accepts one. The neighbours are checked because
+/// connections may also be refused during a network partition.
 pub async fn has_crashed(address: SocketAddr, neighbours: &[SocketAddr]) -> bool {
     if !timeout(CONNECT_TIMEOUT, refuses(address)).await.unwrap_or(false) {
         return false;
@@ -154,8 +156,8 @@
     neighbours.is_empty() || accepts_any(neighbours).await
 }
 
-/// Returns whether an address refuses connections. The system of a process that is ending may still accept one, which
-/// it closes right after.
+/// Returns whether an address refuses connections. The operating system may still accept a connection for an
+/// exiting process and close it right after; the connection is then retried.
 async fn refuses(address: SocketAddr) -> bool {
     loop {
         let is_closed = match TcpStream::connect(address).await {
@@ -169,13 +171,13 @@
     }
 }
 
-/// Returns whether the other side closes a new connection within [`CLOSE_TIMEOUT`].
+/// Returns whether the peer closes a new connection within [`CLOSE_TIMEOUT`].
 async fn is_closed(mut stream: TcpStream) -> bool {
     let read = timeout(CLOSE_TIMEOUT, stream.read(&mut [0])).await;
     matches!(read, Ok(Ok(0) | Err(_)))
 }
 
-/// Returns whether one of these addresses accepts a connection; some of them may have ended as well.
+/// Returns whether at least one of these addresses accepts a connection; others may have crashed as well.
 async fn accepts_any(addresses: &[SocketAddr]) -> bool {
     let connecting = addresses
         .iter()
--- a/crates/jb-daemon/src/settings.rs
+++ b/crates/jb-daemon/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one box: what it cannot learn from the tree.
+//! Local settings of one box, which cannot come from the configuration tree.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -10,34 +10,34 @@
 use serde::Deserialize;
 use thiserror::Error as ThisError;
 
-/// Why the settings of a box were refused.
+/// Error in the settings file of a box.
 #[derive(Debug, ThisError, Diagnostic)]
 pub enum Error {
     /// The file cannot be read.
-    #[error("{path} cannot be read: {message}")]
+    #[error("cannot read settings file {path}: {message}")]
     #[diagnostic(
         code(settings::file),
-        help("give the file with --settings; docs/OPERATORS.md shows one")
+        help("pass the file with --settings; docs/OPERATORS.md has an example")
     )]
     File {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Message of the system.
+        /// Error message of the operating system.
         message: String,
     },
-    /// A key is unknown, missing, or has a bad value.
-    #[error("the settings cannot be used: {message}")]
+    /// A key is unknown or missing, or has an invalid value.
+    #[error("invalid settings: {message}")]
     #[diagnostic(
         code(settings::value),
         help("docs/OPERATORS.md lists every key with its type and default")
     )]
     Value {
-        /// What is wrong.
+        /// Description of the problem.
         message: String,
-        /// The file's text.
+        /// Text of the file.
         #[source_code]
         text: NamedSource<String>,
-        /// Where it is wrong.
+        /// Location of the problem, if known.
         #[label("here")]
         at: Option<SourceSpan>,
     },
@@ -50,35 +50,35 @@
     /// Name of the box, unique among all boxes.
     #[serde(rename = "box")]
     pub id: id::Box,
-    /// Data hall in which the box stands.
+    /// Data hall of the box.
     pub hall: id::Hall,
-    /// Address for callers.
+    /// Address that callers connect to.
     pub caller_address: SocketAddr,
-    /// Address for other boxes.
+    /// Address that the box listens on for other boxes.
     pub peer_address: SocketAddr,
-    /// Address that other boxes connect to, where it differs from `peer_address`.
+    /// Address announced to other boxes, if it differs from `peer_address`.
     pub peer_advertise: Option<SocketAddr>,
-    /// Address for operators.
+    /// Address of the administration API.
     pub admin_address: SocketAddr,
-    /// Address of the platform's service.
+    /// Address of the platform service.
     pub platform: SocketAddr,
-    /// Peer addresses of boxes to ask first, before the box list is known.
+    /// Peer addresses of seed boxes, which are probed while no other box is known to be alive.
     pub peers: Vec<SocketAddr>,
     /// Address of an OpenTelemetry collector (OTLP over HTTP, JSON).
     pub traces: Option<SocketAddr>,
-    /// Secret that boxes show each other.
+    /// Shared secret with which boxes authenticate to each other.
     pub peer_secret: String,
-    /// Hash of the operators' key, `sha256:` and 64 hex digits; none when empty.
+    /// Hash of the operators' key, `sha256:` and 64 hex digits. If empty, no key is required.
     pub admin_key: String,
-    /// Seconds that a planned stop waits for open requests.
+    /// Time in seconds that a planned stop waits for open requests.
     pub stop_grace_s: u64,
-    /// Milliseconds between two probes of other boxes.
+    /// Interval between two rounds of probes of other boxes, in milliseconds.
     pub probe_ms: u64,
-    /// Milliseconds between two reports, each of another engine.
+    /// Interval between two engine reports, in milliseconds; each polls the next engine.
     pub report_ms: u64,
-    /// Messages that one ring holds.
+    /// Capacity of the queue to the decision thread, in messages.
     pub ring: usize,
-    /// Threads that serve callers.
+    /// Number of threads that serve callers.
     pub workers: usize,
 }
 
@@ -107,21 +107,21 @@
 }
 
 impl Settings {
-    /// Time between two probes of other boxes.
+    /// Returns the interval between two rounds of probes of other boxes.
     pub fn probe_interval(&self) -> Duration {
         Duration::from_millis(self.probe_ms)
     }
 
-    /// Time between two reports.
+    /// Returns the interval between two engine reports.
     pub fn report_interval(&self) -> Duration {
         Duration::from_millis(self.report_ms)
     }
 }
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 ///
 /// # Errors
-/// When it cannot be read, or a key is unknown, missing or bad.
+/// If the file cannot be read, or a key is unknown, missing or invalid.
 pub fn read(path: &Path) -> Result<Settings, Error> {
     let text = std::fs::read_to_string(path).map_err(|e| Error::File {
         path: path.display().to_string(),
@@ -130,10 +130,10 @@
     parse(&path.display().to_string(), &text)
 }
 
-/// Checks the text of a settings file.
+/// Parses and validates the text of a settings file; `name` is shown in errors.
 ///
 /// # Errors
-/// When a key is unknown, missing or bad; the error points at the place.
+/// If a key is unknown, missing or invalid. The error marks its location in the text.
 pub fn parse(name: &str, text: &str) -> Result<Settings, Error> {
     let error = |message: String, at: Option<SourceSpan>| Error::Value {
         message,
@@ -156,22 +156,22 @@
 fn validate(settings: &Settings) -> Option<InvalidKey> {
     let invalid = |key, message| Some(InvalidKey { key, message });
     if settings.id.is_empty() {
-        return invalid("box", "is missing: give the box a name");
+        return invalid("box", "is missing: set a name that is unique among all boxes");
     }
     if settings.hall.is_empty() {
-        return invalid("hall", "is missing: name the data hall");
+        return invalid("hall", "is missing: set the name of the data hall");
     }
     if settings.platform.port() == 0 {
-        return invalid("platform", "is missing: give the address of the platform");
+        return invalid("platform", "is missing: set the address of the platform service");
     }
     if settings.peer_secret.is_empty() {
-        return invalid("peer_secret", "is missing: give all boxes the same secret");
+        return invalid("peer_secret", "is missing: set the same secret on all boxes");
     }
     if !settings.admin_key.is_empty() && key::Digest::parse(&settings.admin_key).is_none() {
-        return invalid("admin_key", "must be `sha256:` and 64 hex digits");
+        return invalid("admin_key", "must be `sha256:` followed by 64 hex digits");
     }
     if settings.probe_ms == 0 || settings.report_ms == 0 {
-        return invalid("probe_ms", "and `report_ms` must be above 0");
+        return invalid("probe_ms", "and `report_ms` must be greater than 0");
     }
     if settings.ring < 16 {
         return invalid("ring", "must be at least 16");
--- a/crates/jb-daemon/src/site.rs
+++ b/crates/jb-daemon/src/site.rs
@@ -1,4 +1,4 @@
-//! The daemon on a platform that gives it its settings.
+//! Runs the daemon on a platform that provides its settings.
 
 use std::path::Path;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 /// Runs the box until it is stopped.
 ///
 /// # Errors
-/// When the settings cannot be used, or an address cannot be listened on.
+/// If the settings are invalid or an address cannot be bound.
 pub fn run(path: &Path) -> miette::Result<()> {
     let settings = jb_site::read(path)?;
     let Log { logger, guard } = log::start(&settings.id, &settings.hall);
--- a/crates/jb-daemon/src/start.rs
+++ b/crates/jb-daemon/src/start.rs
@@ -1,4 +1,4 @@
-//! Starts the threads of a box and joins them.
+//! Starts the threads of a box and connects them.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -38,7 +38,7 @@
 /// Runs the box until it is stopped.
 ///
 /// # Errors
-/// When an address cannot be bound, or the system gives no thread.
+/// If an address cannot be bound or a thread cannot be started.
 pub fn run(settings: Settings) -> miette::Result<()> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(settings.workers)
@@ -65,13 +65,13 @@
         () = wait_until_stopping(&context) => {}
     }
     emit!(context.logger, info, event::BOX_STOPPING, "open" => context.stop.open());
-    // The grace period is in the settings; what is still served after it is cut.
+    // Requests that are still open after the configured grace period are aborted.
     let _ = tokio::time::timeout(stop_grace, context.stop.wait_idle()).await;
     emit!(context.logger, info, event::BOX_STOPPED, "open" => context.stop.open());
     Ok(())
 }
 
-/// Waits until an operator has begun the stop and nothing is open any more.
+/// Waits until an operator has begun the stop.
 async fn wait_until_stopping(context: &Context) {
     const POLL_INTERVAL: Duration = Duration::from_millis(50);
     while !context.stop.is_stopping() {
@@ -82,7 +82,7 @@
 async fn bind(settings: &Settings) -> miette::Result<Listeners> {
     let bind = |key: &'static str, address: SocketAddr| async move {
         let bound = TcpListener::bind(address).await.into_diagnostic();
-        bound.wrap_err_with(|| format!("`{key}` = {address} cannot be listened on"))
+        bound.wrap_err_with(|| format!("cannot listen on `{key}` = {address}"))
     };
     Ok(Listeners {
         callers: bind("caller_address", settings.caller_address).await?,
@@ -121,14 +121,14 @@
         None => Traces::default(),
     };
     let dialer = Dialer::new(&settings.peer_secret)
-        .ok_or_else(|| miette::miette!("`peer_secret` may hold printable ASCII characters only"))?;
+        .ok_or_else(|| miette::miette!("`peer_secret` must contain only printable ASCII characters"))?;
     let peer_bound = listeners.peers.local_addr().into_diagnostic()?;
     let local = Member {
         id: settings.id.clone(),
         hall: settings.hall.clone(),
         peer_address: settings.peer_advertise.unwrap_or(peer_bound).to_string(),
         admin_address: listeners.operators.local_addr().into_diagnostic()?.to_string(),
-        // The heartbeat of a restarted box must be newer than that of its earlier process.
+        // The heartbeat of a restarted box must be higher than that of its previous process.
         heartbeat: clock::wall_s(),
         stopping: false,
         revision: 0,
@@ -193,7 +193,7 @@
     tokio::spawn(peers);
 }
 
-/// Runs one duty on a thread and a runtime of its own.
+/// Runs a task on a dedicated thread with its own single-threaded runtime.
 fn spawn_thread<F, W>(name: &str, work: W) -> miette::Result<()>
 where
     W: FnOnce() -> F + Send + 'static,
--- a/crates/jb-daemon/src/stop.rs
+++ b/crates/jb-daemon/src/stop.rs
@@ -1,11 +1,11 @@
-//! Planned stop: no new work, open requests end.
+//! Planned stop: new requests are refused and open ones finish.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
 use tokio::sync::Notify;
 
-/// Whether the box is stopping, and how many requests are open.
+/// Stop flag and count of open requests.
 #[derive(Default)]
 pub struct Stop {
     stopping: AtomicBool,
@@ -13,7 +13,7 @@
     idle: Notify,
 }
 
-/// Counts one open request until dropped.
+/// Counts one request as open until dropped.
 pub struct Guard {
     stop: Arc<Stop>,
 }
@@ -27,25 +27,24 @@
 }
 
 impl Stop {
-    /// Begins the stop.
+    /// Begins the stop: requests that arrive from now on are refused.
     pub fn begin(&self) {
         self.stopping.store(true, Ordering::SeqCst);
     }
 
-    /// Whether the stop has begun.
+    /// Returns whether the stop has begun.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Requests open.
+    /// Returns the number of open requests.
     pub fn open(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
 
-    /// Lets a request in; `None` once the stop has begun.
+    /// Counts a new request as open; returns `None` once the stop has begun.
     ///
-    /// The count is raised before the check, so that [`Stop::wait_idle`]
-    /// cannot miss a request that was let in.
+    /// The count is incremented before the check, so that [`Stop::wait_idle`] cannot miss an accepted request.
     pub fn begin_request(self: &Arc<Self>) -> Option<Guard> {
         self.open.fetch_add(1, Ordering::SeqCst);
         let guard = Guard {
--- a/crates/jb-daemon/src/trace.rs
+++ b/crates/jb-daemon/src/trace.rs
@@ -1,4 +1,4 @@
-//! Traces: a span for each hop, joined across boxes by the W3C trace context.
+//! Tracing: one span per hop, linked across boxes by the W3C trace context.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,42 +12,44 @@
 use opentelemetry_sdk::Resource;
 use opentelemetry_sdk::trace::{BatchConfigBuilder, BatchSpanProcessor, SdkTracer, SdkTracerProvider, Span};
 
-/// Longest time that an ended span waits to be exported.
+/// Maximum time that a finished span waits for its export.
 const EXPORT_DELAY: Duration = Duration::from_secs(1);
+/// Version field of the `traceparent` header.
 const VERSION: &str = "00";
+/// Flags field of the `traceparent` header of a sampled trace.
 const SAMPLED: &str = "01";
 
-/// Why spans cannot be exported.
+/// Error in setting up the export of spans.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
-#[error("traces cannot be exported to {address}: {message}")]
+#[error("cannot export traces to {address}: {message}")]
 #[diagnostic(
     code(settings::traces),
-    help("leave `traces` out, or name the collector's address")
+    help("set `traces` to the address of the collector, or remove it")
 )]
 pub struct Error {
     address: SocketAddr,
     message: String,
 }
 
-/// Makes spans, or passes trace contexts on where no collector is set.
+/// Creates spans; without a collector, only propagates trace contexts.
 #[derive(Default)]
 pub struct Traces {
     tracer: Option<SdkTracer>,
-    // Exports what is waiting when dropped.
+    // Held because dropping it exports the remaining spans.
     _provider: Option<SdkTracerProvider>,
 }
 
-/// One hop of a request; its span ends when this is dropped.
+/// One hop of a request. Its span ends when the hop is dropped.
 pub struct Hop {
     span: Option<Span>,
     traceparent: Option<String>,
 }
 
 impl Traces {
-    /// Exports spans to the collector at `address`.
+    /// Creates spans and exports them to the collector at `address`.
     ///
     /// # Errors
-    /// When the exporter cannot be set up.
+    /// If the exporter cannot be set up.
     pub fn export_to(address: SocketAddr, id: &str, hall: &str) -> Result<Self, Error> {
         let exporter = SpanExporter::builder()
             .with_http()
@@ -79,7 +81,7 @@
         })
     }
 
-    /// Begins a hop below the hop that `parent` names.
+    /// Begins a hop as a child of the one in the `traceparent` header value `parent`, if any.
     pub fn begin(&self, name: &'static str, kind: SpanKind, parent: Option<&str>) -> Hop {
         let Some(tracer) = &self.tracer else {
             return Hop {
@@ -103,12 +105,12 @@
 }
 
 impl Hop {
-    /// Trace context for the next hop.
+    /// Returns the `traceparent` header value for the next hop.
     pub fn traceparent(&self) -> Option<String> {
         self.traceparent.clone()
     }
 
-    /// Notes a fact about the hop.
+    /// Sets an attribute of the span.
     pub fn set_attribute(&mut self, key: &'static str, value: &str) {
         if let Some(span) = &mut self.span {
             span.set_attribute(KeyValue::new(key, value.to_owned()));
