--- a/crates/jb-daemon/src/admin/edit.rs
+++ b/crates/jb-daemon/src/admin/edit.rs
@@ -1,4 +1,4 @@
-//! Reads and edits the tree.
+//! Endpoints that show the tree, commit edits and begin a drain.
 
 use std::sync::Arc;
 
@@ -16,10 +16,10 @@
 use crate::follow;
 use crate::serve::refusal;
 
-/// Longest edit.
+/// Maximum size of an edit in bytes.
 const MAX_EDIT_BYTES: usize = 4 << 20;
 
-/// The tree in force.
+/// Responds with the active tree, its revision and its recent edits.
 #[handler]
 pub fn show_tree(Data(context): Data<&Arc<Context>>) -> Response {
     let current = context.store.current();
@@ -31,7 +31,7 @@
     json(&body)
 }
 
-/// Commits an edit.
+/// Parses and commits an edit.
 #[handler]
 pub async fn commit_edit(body: Body, Data(context): Data<&Arc<Context>>) -> Response {
     let bytes = match body.into_bytes_limit(MAX_EDIT_BYTES).await {
@@ -56,7 +56,7 @@
 }
 
 fn refuse(kind: Kind, detail: String, edit: &str) -> Response {
-    // An edit whose write had no answer may have been accepted.
+    // An edit whose write was not acknowledged may have taken effect.
     if kind == Kind::PlatformUnavailable {
         return refusal::answer(&Document::new(kind, Outcome::MayHaveRun, detail, edit.to_owned()));
     }
@@ -64,7 +64,7 @@
     refusal::answer(&refusal::document(&refused, edit))
 }
 
-/// An answer in JSON.
+/// Builds a JSON response.
 pub fn json<T: Serialize>(value: &T) -> Response {
     match serde_json::to_vec(value) {
         Ok(body) => Response::builder().content_type("application/json").body(body),
--- a/crates/jb-daemon/src/admin/explain.rs
+++ b/crates/jb-daemon/src/admin/explain.rs
@@ -1,4 +1,4 @@
-//! Tells where a request would go and why.
+//! Endpoint that explains the placement of a request.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 use crate::run::{Parsed, resolve};
 use crate::serve::refusal;
 
-/// Explains a request without running it.
+/// Explains where a request would be placed and why, without running it.
 #[handler]
 pub async fn explain(Json(question): Json<Question>, Data(context): Data<&Arc<Context>>) -> Response {
     let view = context.store.view();
--- a/crates/jb-daemon/src/admin/mod.rs
+++ b/crates/jb-daemon/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! Answers operators.
+//! Administration API for operators.
 
 mod edit;
 mod explain;
--- a/crates/jb-daemon/src/admin/routes.rs
+++ b/crates/jb-daemon/src/admin/routes.rs
@@ -1,4 +1,4 @@
-//! Paths for operators.
+//! Routes and authentication of the administration API.
 
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
 use crate::context::Context;
 use crate::serve::refusal;
 
-/// Everything that operators can ask for.
+/// Builds the administration API.
 pub fn app(context: Arc<Context>) -> impl IntoEndpoint {
     let key = Digest::parse(&context.settings.admin_key);
     Route::new()
@@ -30,7 +30,7 @@
         .into_endpoint()
 }
 
-/// Lets in who shows the operators' key, or everybody where none is set.
+/// Middleware that requires the operators' key as a bearer token, if a key is set.
 struct KeyCheck {
     key: Option<Digest>,
 }
--- a/crates/jb-daemon/src/admin/status.rs
+++ b/crates/jb-daemon/src/admin/status.rs
@@ -1,4 +1,4 @@
-//! The state of the box as operators see it.
+//! Endpoint that shows the state of the box.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use super::edit::json;
 use crate::context::Context;
 
-fn show(member: Member) -> BoxStatus {
+fn to_status(member: Member) -> BoxStatus {
     BoxStatus {
         id: member.id,
         hall: member.hall,
@@ -20,10 +20,10 @@
     }
 }
 
-/// The state of the box.
+/// Responds with the state of the box, of the other live boxes and of the services.
 #[handler]
 pub async fn status(Data(context): Data<&Arc<Context>>) -> Response {
-    let mut me = show(context.directory.local());
+    let mut me = to_status(context.directory.local());
     me.revision = context.store.revision();
     me.leaving = context.stop.is_stopping();
     let summaries = context.ring.summarize().await.unwrap_or_default();
@@ -35,7 +35,7 @@
     });
     json(&Status {
         me,
-        boxes: context.directory.alive().into_iter().map(show).collect(),
+        boxes: context.directory.alive().into_iter().map(to_status).collect(),
         services: services.collect(),
         open: context.stop.open(),
     })
--- a/crates/jb-daemon/src/follow/edit.rs
+++ b/crates/jb-daemon/src/follow/edit.rs
@@ -1,4 +1,4 @@
-//! Commits an operator's edit through compare-and-swap.
+//! Commits an operator's edit to the platform with compare-and-swap.
 
 use jb_platform::Error as PlatformError;
 use jb_platform::port::Swap;
@@ -12,15 +12,15 @@
 use crate::context::Context;
 use crate::emit;
 
-/// Times that an edit is tried against a newer tree or an unknown answer.
+/// Maximum number of attempts to commit an edit when other edits interfere or the result of a write is unknown.
 const MAX_ATTEMPTS: u32 = 12;
 
-/// Why an edit was not accepted.
+/// Reason for which an edit was not accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejected {
     /// Kind of error.
     pub kind: Kind,
-    /// What happened.
+    /// Message for the operator.
     pub detail: String,
 }
 
@@ -47,10 +47,10 @@
     Retry(Rejected),
 }
 
-/// Commits an edit; the same edit id takes effect once.
+/// Commits an edit. Edits are idempotent by id: one that was committed before is not applied again.
 ///
 /// # Errors
-/// When it conflicts, would make the tree invalid, or the platform is out.
+/// If the edit conflicts, would make the tree invalid, or the platform is unavailable.
 pub async fn commit(context: &Context, edit: &Edit) -> Result<Accepted, Rejected> {
     let result = commit_with_retries(context, edit).await;
     match &result {
@@ -103,8 +103,8 @@
     write_next(context, edit, &head, &fetched, version).await
 }
 
-/// The platform came back older: the newer tree is put back before the edit,
-/// by this box if it has it.
+/// Handles a platform that came back with an older tree than the boxes have. The newer tree must be written back
+/// before the edit; this box does so if it has that revision.
 async fn restore_newer(
     context: &Context,
     head: &Head,
@@ -166,7 +166,7 @@
             kind: Kind::EditConflict,
             detail: "other edits came first each time; send the edit again".to_owned(),
         })),
-        // The write may have taken effect; the next try finds its id if so.
+        // The write may have taken effect; in that case the next attempt finds the edit's id in the head.
         Err(error) => Ok(Attempt::Retry(error.into())),
     }
 }
@@ -178,7 +178,7 @@
     serde_json::from_slice(body).map_err(|e| PlatformError::Protocol(e.to_string()).into())
 }
 
-/// Highest revision that this box or any box it knows of has in force.
+/// Returns the highest revision that is active on this box or any other live box.
 fn newest_known(context: &Context) -> id::Revision {
     let highest = context
         .directory
--- a/crates/jb-daemon/src/follow/mod.rs
+++ b/crates/jb-daemon/src/follow/mod.rs
@@ -1,4 +1,4 @@
-//! The tree of settings as the box follows it.
+//! Follows the configuration tree, stores its active revision and commits edits.
 
 mod edit;
 mod platform;
--- a/crates/jb-daemon/src/follow/platform.rs
+++ b/crates/jb-daemon/src/follow/platform.rs
@@ -1,4 +1,4 @@
-//! Follows the tree in the platform, and puts a lost one back.
+//! Follows the tree in the platform, and restores it there if it is lost or older.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,13 +13,13 @@
 use crate::decide::Message;
 use crate::emit;
 
-/// Time for which one watch waits.
+/// Maximum time that one watch call waits for a change.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
-/// First backoff after a failure; it doubles up to the longest.
+/// Backoff after the first failure; it doubles up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Follows the head for as long as the box runs.
+/// Follows the head of the tree. Never returns.
 pub async fn follow(context: Arc<Context>) {
     let mut backoff = MIN_BACKOFF;
     let mut known_version = 0;
@@ -48,7 +48,8 @@
     }
 }
 
-/// One watch and what follows from it; gives the version that is known now.
+/// Reads or watches the head once and processes it. Returns the version of the head in the platform, 0 if there
+/// is none or it must be read again.
 async fn watch_once(context: &Context, known_version: u64) -> Result<u64, Error> {
     context.metrics.platform_calls.inc();
     let value = if known_version == 0 {
@@ -60,7 +61,7 @@
             .await?
         {
             Some(value) => Some(value),
-            // Nothing has changed, or the value is gone: a read tells which.
+            // Either nothing has changed or the value was deleted; only a read tells which.
             None => return reread(context, known_version).await,
         }
     };
@@ -93,7 +94,7 @@
     Ok(value.version)
 }
 
-/// Fetches the parts of a head that the box does not hold yet.
+/// Fetches the parts of a head that are not in the active tree.
 pub(super) async fn fetch(context: &Context, head: &Head) -> Result<Vec<Part>, Error> {
     let held = context.store.current();
     let mut parts = Vec::new();
@@ -114,7 +115,7 @@
     Ok(parts)
 }
 
-/// Offers a tree to the store and puts it in force.
+/// Offers a tree to the store and, if it is accepted, passes it to the decision thread.
 pub async fn offer(context: &Context, head: Head, parts: Vec<Part>, from: &str) {
     let revision = head.revision;
     match context.store.offer(head, parts) {
@@ -137,7 +138,8 @@
     }
 }
 
-/// Writes the box's newer tree over an older or missing one.
+/// Replaces an older or missing tree in the platform with the active one. Returns the version written, 0 if the
+/// box has no tree or another writer came first.
 pub(super) async fn restore(context: &Context, version: u64) -> Result<u64, Error> {
     let active = context.store.current();
     if active.head.revision == 0 {
@@ -155,7 +157,8 @@
     }
 }
 
-/// Writes parts that may be there already: they never change.
+/// Writes parts to the platform. Conflicts are ignored: a part is stored under its digest and never changes,
+/// so an existing one is equal.
 pub(super) async fn put_parts(context: &Context, parts: impl Iterator<Item = &Part>) -> Result<(), Error> {
     for part in parts {
         context.metrics.platform_calls.inc();
--- a/crates/jb-daemon/src/follow/store.rs
+++ b/crates/jb-daemon/src/follow/store.rs
@@ -1,4 +1,4 @@
-//! The tree in force. It only moves to a higher revision.
+//! The active tree. It is only ever replaced by one with a higher revision.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,29 +11,29 @@
 use jb_tree::{Error, Tree};
 use tokio::sync::watch;
 
-/// One revision with everything needed to serve it and to pass it on.
+/// One revision of the tree, with all that is needed to apply it and to send it to other boxes.
 #[derive(Clone, Debug, Default)]
 pub struct ActiveTree {
-    /// The head.
+    /// Head, which lists the parts.
     pub head: Head,
-    /// The parts by digest.
+    /// Encoded parts by digest.
     pub parts: HashMap<Digest, Part>,
-    /// The tree.
+    /// Decoded tree.
     pub tree: Tree,
-    /// The tree compiled.
+    /// View compiled from the tree for serving.
     pub view: Arc<View>,
 }
 
-/// What became of an offered tree.
+/// Result of offering a tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Offer {
-    /// It is in force now.
+    /// The tree is now active.
     Applied,
-    /// The box has this revision or a newer one.
+    /// The box already has this revision or a newer one.
     NotNewer,
 }
 
-/// Holder of the tree in force.
+/// Store of the active tree.
 pub struct Store {
     current: ArcSwap<ActiveTree>,
     offer_lock: Mutex<()>,
@@ -51,32 +51,32 @@
 }
 
 impl Store {
-    /// The tree in force.
+    /// Returns the active tree.
     pub fn current(&self) -> Arc<ActiveTree> {
         self.current.load_full()
     }
 
-    /// The compiled tree in force.
+    /// Returns the compiled view of the active tree.
     pub fn view(&self) -> Arc<View> {
         Arc::clone(&self.current.load().view)
     }
 
-    /// Revision in force; 0 when the box has no tree.
+    /// Returns the active revision, 0 if the box has no tree.
     pub fn revision(&self) -> id::Revision {
         self.current.load().head.revision
     }
 
-    /// Tells of each new revision.
+    /// Returns a receiver that is notified of each new revision.
     pub fn subscribe(&self) -> watch::Receiver<id::Revision> {
         self.changed.subscribe()
     }
 
-    /// Takes a tree if its revision is higher and it holds together.
+    /// Activates a tree if its revision is higher than the active one and it is complete and valid.
     ///
-    /// `parts` need not repeat those of the tree in force.
+    /// `parts` need not contain the parts that the active tree already has.
     ///
     /// # Errors
-    /// When a part is missing or damaged, or the tree does not pass its check.
+    /// If a part is missing or damaged, or the tree is invalid.
     pub fn offer(&self, head: Head, parts: Vec<Part>) -> Result<Offer, Error> {
         let _serialized = self.offer_lock.lock().unwrap_or_else(PoisonError::into_inner);
         let previous = self.current();
--- a/crates/jb-daemon/src/peer/dial.rs
+++ b/crates/jb-daemon/src/peer/dial.rs
@@ -1,4 +1,4 @@
-//! Connections to other boxes.
+//! gRPC client for other boxes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,25 +14,25 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Request, Streaming};
 
-/// Name of the metadata that carries the boxes' secret.
+/// gRPC metadata key for the secret shared by the boxes.
 pub const SECRET_HEADER: &str = "x-peer-secret";
-/// Time in which another box must be connected.
+/// Timeout for connecting to another box.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time in which a probe must be answered.
+/// Timeout for the reply to a probe or a tree fetch.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Time in which another box must begin to answer a relayed request.
+/// Timeout for the start of the response to a relayed request.
 const RELAY_START_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Longest message, room for a tree of 16 parts of 1 MB.
+/// Maximum message size in bytes, enough for a tree of 16 parts of 1 MB.
 pub const MAX_MESSAGE_BYTES: usize = 20 << 20;
 
-/// Keeps one connection to each box it has talked with.
+/// Client that caches one connection to each box.
 pub struct Dialer {
     secret: AsciiMetadataValue,
     channels: Mutex<HashMap<SocketAddr, Channel>>,
 }
 
 impl Dialer {
-    /// A dialer that shows `secret`; `None` when a header cannot carry it.
+    /// Creates a dialer that sends `secret` with each request; `None` if it is not a valid header value.
     pub fn new(secret: &str) -> Option<Self> {
         Some(Self {
             secret: secret.parse().ok()?,
@@ -40,20 +40,20 @@
         })
     }
 
-    /// Probes a box.
+    /// Sends a probe to a box.
     ///
     /// # Errors
-    /// How it failed.
+    /// If the box cannot be reached, returns an error or does not respond in time.
     pub async fn probe(&self, address: SocketAddr, request: ProbeRequest) -> Result<ProbeReply, Failure> {
         let mut client = self.client(address).await?;
         let response = timeout(REPLY_TIMEOUT, client.probe(self.authenticate(request))).await;
         self.unpack(address, response)
     }
 
-    /// Asks a box for its tree.
+    /// Fetches the active tree of a box.
     ///
     /// # Errors
-    /// How it failed.
+    /// If the box cannot be reached, returns an error or does not respond in time.
     pub async fn fetch_tree(
         &self,
         address: SocketAddr,
@@ -64,10 +64,11 @@
         self.unpack(address, response)
     }
 
-    /// Has a box serve a request with its hall.
+    /// Relays a request to a box, which serves it with the engines of its own hall.
     ///
     /// # Errors
-    /// How it failed; a failure to connect proves that nothing was sent.
+    /// If the box cannot be reached, returns an error or does not respond in time.
+    /// [`Failure::Unreachable`] means that nothing was sent.
     pub async fn relay(
         &self,
         address: &str,
@@ -129,7 +130,8 @@
         self.lock().get(&address).cloned()
     }
 
-    /// A broken connection is made anew, so that a failure to connect shows as one.
+    /// Drops the connection after a failure. The next request opens a new one, so that a failure to connect is
+    /// reported as such.
     fn drop_channel(&self, address: SocketAddr) {
         self.lock().remove(&address);
     }
--- a/crates/jb-daemon/src/peer/mod.rs
+++ b/crates/jb-daemon/src/peer/mod.rs
@@ -1,4 +1,4 @@
-//! Talks with other boxes over gRPC.
+//! gRPC client and server for the communication between boxes.
 
 mod dial;
 mod server;
--- a/crates/jb-daemon/src/peer/server.rs
+++ b/crates/jb-daemon/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! Answers other boxes.
+//! gRPC server for other boxes.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -36,10 +36,10 @@
     secret: Digest,
 }
 
-/// Answers other boxes on a listener for as long as the box runs.
+/// Serves requests of other boxes on a listener.
 ///
 /// # Errors
-/// When the listener fails.
+/// If the listener fails.
 pub async fn serve(context: Arc<Context>, listener: TcpListener) -> Result<(), tonic::transport::Error> {
     let server = Server {
         secret: Digest::of(&context.settings.peer_secret),
@@ -56,7 +56,7 @@
 }
 
 impl Server {
-    /// Refuses senders without the secret or with another protocol version.
+    /// Refuses senders that lack the shared secret or have a different protocol version.
     fn check<T>(&self, request: &Request<T>, version: u32) -> Result<(), Status> {
         let presented = request
             .metadata()
@@ -67,7 +67,7 @@
             return Err(Status::unauthenticated("unknown sender"));
         }
         if version != jb_wire::VERSION {
-            emit!(self.context.logger, warn, event::PEER_REFUSED, "why" => "another version", "version" => version);
+            emit!(self.context.logger, warn, event::PEER_REFUSED, "why" => "protocol version mismatch", "version" => version);
             return Err(Status::failed_precondition(Kind::PeerVersion.answer().title));
         }
         Ok(())
--- a/crates/jb-daemon/tests/quarantine.rs
+++ b/crates/jb-daemon/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Whether an engine has ended under a request, by what connections to it show.
+//! Detection of engine crashes by connection attempts.
 
 #![allow(clippy::expect_used)]
 
@@ -32,8 +32,8 @@
     assert!(!has_crashed(alive, &[]).await);
 }
 
-/// On a busy machine the process of an engine was still about to end when the connection came, which the system
-/// accepted: the end passed unnoticed, and one more engine ended under the request.
+/// Guards against a missed crash on a busy machine: the operating system accepts a connection while the process is
+/// still exiting. The engine then counts as alive, and the request crashes one more engine.
 #[tokio::test]
 async fn engine_closing_a_connection_while_it_exits_has_crashed() {
     let (listener, address) = listen().await;
--- a/crates/jb-daemon/tests/store.rs
+++ b/crates/jb-daemon/tests/store.rs
@@ -1,4 +1,4 @@
-//! The tree in force only moves to a higher revision that holds together.
+//! The store activates only complete and valid trees with a higher revision.
 
 #![allow(clippy::expect_used)]
 
@@ -21,13 +21,16 @@
 }
 
 #[test]
-fn an_older_or_equal_revision_is_never_taken() {
+fn older_or_equal_revision_is_never_applied() {
     let store = Store::default();
-    for (revision, taken) in [(5, true), (4, false), (5, false), (6, true), (1, false)] {
-        let (head, parts) = offer_of(revision, &tree(u32::try_from(revision).expect("small")));
-        let expected = if taken { Offer::Applied } else { Offer::NotNewer };
+    for (revision, is_newer) in [(5, true), (4, false), (5, false), (6, true), (1, false)] {
+        let (head, parts) = offer_of(
+            revision,
+            &tree(u32::try_from(revision).expect("a revision that fits u32")),
+        );
+        let expected = if is_newer { Offer::Applied } else { Offer::NotNewer };
         assert_eq!(
-            store.offer(head, parts).expect("whole"),
+            store.offer(head, parts).expect("a complete tree"),
             expected,
             "revision {revision}"
         );
@@ -36,14 +39,14 @@
 }
 
 #[test]
-fn an_incomplete_or_invalid_tree_leaves_the_one_in_force() {
+fn incomplete_or_invalid_tree_leaves_the_active_one() {
     let store = Store::default();
     let (head, parts) = offer_of(1, &tree(1));
-    store.offer(head, parts).expect("whole");
+    store.offer(head, parts).expect("a complete tree");
     let (head, _) = offer_of(2, &tree(2));
     assert!(store.offer(head, Vec::new()).is_err(), "a part is missing");
-    let broken = document::read("test", "[\"/routes/r\"]\nservice = \"nowhere\"\n").expect("readable");
-    let (head, parts) = offer_of(3, &broken);
+    let invalid = document::read("test", "[\"/routes/r\"]\nservice = \"nowhere\"\n").expect("readable");
+    let (head, parts) = offer_of(3, &invalid);
     assert!(store.offer(head, parts).is_err(), "the tree is invalid");
     assert_eq!(store.revision(), 1);
 }
