--- a/crates/jb-daemon/src/peer/server.rs
+++ b/crates/jb-daemon/src/peer/server.rs
@@ -67,7 +67,8 @@
             return Err(Status::unauthenticated("unknown sender"));
         }
         if version != jb_wire::VERSION {
-            emit!(self.context.logger, warn, event::PEER_REFUSED, "why" => "protocol version mismatch", "version" => version);
+            emit!(self.context.logger, warn, event::PEER_REFUSED,
+                "why" => "protocol version mismatch", "version" => version);
             return Err(Status::failed_precondition(Kind::PeerVersion.answer().title));
         }
         Ok(())
