--- a/crates/jb-daemon/src/follow/edit.rs
+++ b/crates/jb-daemon/src/follow/edit.rs
@@ -1,4 +1,4 @@
-//! Commits an operator's edit through compare-and-swap.
+//! Commits an operator's edit to the platform with compare-and-swap.
 
 use jb_platform::Error as PlatformError;
 use jb_platform::port::Swap;
@@ -12,15 +12,15 @@
 use crate::context::Context;
 use crate::emit;
 
-/// Times that an edit is tried against a newer tree or an unknown answer.
-const TRIES: u32 = 12;
+/// Maximum number of attempts to commit an edit when other edits interfere or the result of a write is unknown.
+const MAX_ATTEMPTS: u32 = 12;
 
-/// Why an edit was not accepted.
+/// Reason for which an edit was not accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejected {
     /// Kind of error.
     pub kind: Kind,
-    /// What happened.
+    /// Message for the operator.
     pub detail: String,
 }
 
@@ -44,13 +44,13 @@
 
 enum Attempt {
     Done(Accepted),
-    Again(Rejected),
+    Retry(Rejected),
 }
 
-/// Commits an edit; the same edit id takes effect once.
+/// Commits an edit. Edits are idempotent by id: one that was committed before is not applied again.
 ///
 /// # Errors
-/// When it conflicts, would make the tree invalid, or the platform is out.
+/// If the edit conflicts, would make the tree invalid, or the platform is unavailable.
 pub async fn commit(context: &Context, edit: &Edit) -> Result<Accepted, Rejected> {
     let result = commit_with_retries(context, edit).await;
     match &result {
@@ -63,34 +63,34 @@
 }
 
 async fn commit_with_retries(context: &Context, edit: &Edit) -> Result<Accepted, Rejected> {
-    let mut last = Rejected {
+    let mut last_rejection = Rejected {
         kind: Kind::PlatformUnavailable,
         detail: "the edit was not tried".to_owned(),
     };
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         match try_once(context, edit).await? {
             Attempt::Done(accepted) => return Ok(accepted),
-            Attempt::Again(rejected) => last = rejected,
+            Attempt::Retry(rejected) => last_rejection = rejected,
         }
     }
-    Err(last)
+    Err(last_rejection)
 }
 
 async fn try_once(context: &Context, edit: &Edit) -> Result<Attempt, Rejected> {
     context.metrics.platform_calls.inc();
     let value = match context.platform.get(HEAD_KEY).await {
         Ok(value) => value,
-        Err(error) => return Ok(Attempt::Again(error.into())),
+        Err(error) => return Ok(Attempt::Retry(error.into())),
     };
     let version = value.as_ref().map_or(0, |v| v.version);
     let head = read_head(value.as_ref().map(|v| v.body.as_slice()))?;
     let newest = newest_known(context);
     if head.revision < newest {
-        return put_back(context, &head, newest, version).await;
+        return restore_newer(context, &head, newest, version).await;
     }
     let fetched = match fetch(context, &head).await {
         Ok(parts) => parts,
-        Err(error) => return Ok(Attempt::Again(error.into())),
+        Err(error) => return Ok(Attempt::Retry(error.into())),
     };
     if head.has_edit(&edit.id) {
         let revision = head.revision;
@@ -103,9 +103,14 @@
     write_next(context, edit, &head, &fetched, version).await
 }
 
-/// The platform came back older: the newer tree is put back before the edit,
-/// by this box if it has it.
-async fn put_back(context: &Context, head: &Head, newest: u64, version: u64) -> Result<Attempt, Rejected> {
+/// Handles a platform that came back with an older tree than the boxes have. The newer tree must be written back
+/// before the edit; this box does so if it has that revision.
+async fn restore_newer(
+    context: &Context,
+    head: &Head,
+    newest: u64,
+    version: u64,
+) -> Result<Attempt, Rejected> {
     let rejected = Rejected {
         kind: Kind::PlatformUnavailable,
         detail: format!(
@@ -117,8 +122,8 @@
         return Err(rejected);
     }
     Ok(match restore(context, version).await {
-        Ok(_) => Attempt::Again(rejected),
-        Err(error) => Attempt::Again(error.into()),
+        Ok(_) => Attempt::Retry(rejected),
+        Err(error) => Attempt::Retry(error.into()),
     })
 }
 
@@ -144,7 +149,7 @@
         .iter()
         .filter(|p| !head.parts.iter().any(|r| r.digest == p.digest));
     if let Err(error) = put_parts(context, new).await {
-        return Ok(Attempt::Again(error.into()));
+        return Ok(Attempt::Retry(error.into()));
     }
     let body = serde_json::to_vec(&next).map_err(|e| PlatformError::Protocol(e.to_string()))?;
     context.metrics.platform_calls.inc();
@@ -157,12 +162,12 @@
                 already: false,
             }))
         }
-        Ok(Swap::Conflict) => Ok(Attempt::Again(Rejected {
+        Ok(Swap::Conflict) => Ok(Attempt::Retry(Rejected {
             kind: Kind::EditConflict,
             detail: "other edits came first each time; send the edit again".to_owned(),
         })),
-        // The write may have taken effect; the next try finds its id if so.
-        Err(error) => Ok(Attempt::Again(error.into())),
+        // The write may have taken effect; in that case the next attempt finds the edit's id in the head.
+        Err(error) => Ok(Attempt::Retry(error.into())),
     }
 }
 
@@ -173,14 +178,14 @@
     serde_json::from_slice(body).map_err(|e| PlatformError::Protocol(e.to_string()).into())
 }
 
-/// Highest revision that this box or any box it knows of has in force.
+/// Returns the highest revision that is active on this box or any other live box.
 fn newest_known(context: &Context) -> id::Revision {
-    let accepted = context
+    let highest = context
         .directory
         .alive()
         .iter()
         .map(|m| m.revision)
         .max()
         .unwrap_or(0);
-    accepted.max(context.store.revision())
+    highest.max(context.store.revision())
 }
--- a/crates/jb-daemon/src/follow/mod.rs
+++ b/crates/jb-daemon/src/follow/mod.rs
@@ -1,4 +1,4 @@
-//! The tree of settings as the box follows it.
+//! Follows the configuration tree, stores its active revision and commits edits.
 
 mod edit;
 mod platform;
@@ -6,4 +6,4 @@
 
 pub use edit::{Rejected, commit};
 pub use platform::{follow, offer};
-pub use store::{InForce, Offer, Store};
+pub use store::{ActiveTree, Offer, Store};
--- a/crates/jb-daemon/src/follow/store.rs
+++ b/crates/jb-daemon/src/follow/store.rs
@@ -1,4 +1,4 @@
-//! The tree in force. It only moves to a higher revision.
+//! The active tree. It is only ever replaced by one with a higher revision.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,32 +11,32 @@
 use jb_tree::{Error, Tree};
 use tokio::sync::watch;
 
-/// One revision with everything needed to serve it and to pass it on.
+/// One revision of the tree, with all that is needed to apply it and to send it to other boxes.
 #[derive(Clone, Debug, Default)]
-pub struct InForce {
-    /// The head.
+pub struct ActiveTree {
+    /// Head, which lists the parts.
     pub head: Head,
-    /// The parts by digest.
+    /// Encoded parts by digest.
     pub parts: HashMap<Digest, Part>,
-    /// The tree.
+    /// Decoded tree.
     pub tree: Tree,
-    /// The tree compiled.
+    /// View compiled from the tree for serving.
     pub view: Arc<View>,
 }
 
-/// What became of an offered tree.
+/// Result of offering a tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Offer {
-    /// It is in force now.
-    Taken,
-    /// The box has this revision or a newer one.
+    /// The tree is now active.
+    Applied,
+    /// The box already has this revision or a newer one.
     NotNewer,
 }
 
-/// Holder of the tree in force.
+/// Store of the active tree.
 pub struct Store {
-    current: ArcSwap<InForce>,
-    offering: Mutex<()>,
+    current: ArcSwap<ActiveTree>,
+    offer_lock: Mutex<()>,
     changed: watch::Sender<id::Revision>,
 }
 
@@ -44,59 +44,59 @@
     fn default() -> Self {
         Self {
             current: ArcSwap::default(),
-            offering: Mutex::default(),
+            offer_lock: Mutex::default(),
             changed: watch::Sender::new(0),
         }
     }
 }
 
 impl Store {
-    /// The tree in force.
-    pub fn current(&self) -> Arc<InForce> {
+    /// Returns the active tree.
+    pub fn current(&self) -> Arc<ActiveTree> {
         self.current.load_full()
     }
 
-    /// The compiled tree in force.
+    /// Returns the compiled view of the active tree.
     pub fn view(&self) -> Arc<View> {
         Arc::clone(&self.current.load().view)
     }
 
-    /// Revision in force; 0 when the box has no tree.
+    /// Returns the active revision, 0 if the box has no tree.
     pub fn revision(&self) -> id::Revision {
         self.current.load().head.revision
     }
 
-    /// Tells of each new revision.
+    /// Returns a receiver that is notified of each new revision.
     pub fn subscribe(&self) -> watch::Receiver<id::Revision> {
         self.changed.subscribe()
     }
 
-    /// Takes a tree if its revision is higher and it holds together.
+    /// Activates a tree if its revision is higher than the active one and it is complete and valid.
     ///
-    /// `parts` need not repeat those of the tree in force.
+    /// `parts` need not contain the parts that the active tree already has.
     ///
     /// # Errors
-    /// When a part is missing or damaged, or the tree does not pass its check.
+    /// If a part is missing or damaged, or the tree is invalid.
     pub fn offer(&self, head: Head, parts: Vec<Part>) -> Result<Offer, Error> {
-        let _one_at_a_time = self.offering.lock().unwrap_or_else(PoisonError::into_inner);
-        let before = self.current();
-        if head.revision <= before.head.revision {
+        let _serialized = self.offer_lock.lock().unwrap_or_else(PoisonError::into_inner);
+        let previous = self.current();
+        if head.revision <= previous.head.revision {
             return Ok(Offer::NotNewer);
         }
-        let mut all: HashMap<Digest, Part> = before.parts.clone();
+        let mut all: HashMap<Digest, Part> = previous.parts.clone();
         all.extend(parts.into_iter().map(|part| (part.digest.clone(), part)));
         all.retain(|digest, _| head.parts.iter().any(|r| r.digest == *digest));
         let tree = head::join(&head, |digest| all.get(digest).map(|part| part.body.as_slice()))?;
         check(&tree)?;
         let revision = head.revision;
         let view = Arc::new(View::compile(&tree, revision));
-        self.current.store(Arc::new(InForce {
+        self.current.store(Arc::new(ActiveTree {
             head,
             parts: all,
             tree,
             view,
         }));
         self.changed.send_replace(revision);
-        Ok(Offer::Taken)
+        Ok(Offer::Applied)
     }
 }
--- a/crates/jb-daemon/src/probe.rs
+++ b/crates/jb-daemon/src/probe.rs
@@ -1,4 +1,4 @@
-//! The thread that asks the hall's engines for their reports.
+//! Polls the hall's engines for their reports.
 
 use std::sync::Arc;
 
@@ -10,19 +10,19 @@
 use crate::context::Context;
 use crate::decide::Message;
 
-/// Engines asked at each tick; the others wait for their turn, so that the
-/// cost of a box does not grow with the hall. The load that decides comes
-/// with each answer; a report only shows what no answer does.
+/// Engines polled at each tick. Engines take turns, so that the cost for a box does not grow with the size of
+/// the hall. The load used for placement comes with each response; a report only adds what responses don't
+/// show.
 const ENGINES_PER_TICK: usize = 1;
-/// Bytes of the head of a small HTTP exchange, both ways, for the count of
-/// control bytes.
-const HEAD_BYTES: u64 = 200;
+/// Estimated size in bytes of the heads of a small HTTP request and its response, for the count of control
+/// bytes.
+const HTTP_HEAD_BYTES: u64 = 200;
 
-/// Asks engines for as long as the box runs.
-pub async fn work(context: Arc<Context>) {
-    let mut ticks = tokio::time::interval(context.settings.report_every());
+/// Polls engines at the configured interval. Never returns.
+pub async fn run(context: Arc<Context>) {
+    let mut ticks = tokio::time::interval(context.settings.report_interval());
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut turn = 0_usize;
+    let mut next = 0_usize;
     loop {
         ticks.tick().await;
         let view = context.store.view();
@@ -34,20 +34,20 @@
             .filter(|(_, u)| u.hall == context.settings.hall)
             .collect();
         let count = ENGINES_PER_TICK.min(engines.len());
-        let chosen = (0..count).map(|k| engines[(turn + k) % engines.len()]);
-        join_all(chosen.map(|(service, upstream)| ask(&context, service, upstream))).await;
-        turn = turn.wrapping_add(count);
+        let selected = (0..count).map(|k| engines[(next + k) % engines.len()]);
+        join_all(selected.map(|(service, upstream)| fetch_report(&context, service, upstream))).await;
+        next = next.wrapping_add(count);
     }
 }
 
-async fn ask(context: &Context, service: &Service, upstream: &Upstream) {
-    // An engine that does not answer is judged by its requests alone: a
-    // lost report must not turn work away from it.
+async fn fetch_report(context: &Context, service: &Service, upstream: &Upstream) {
+    // A failed report says nothing about the engine's health, which is judged by its requests alone: a lost
+    // report must not divert requests from the engine.
     let Ok(report) = context.engines.report(upstream.address).await else {
         return;
     };
     let size = serde_json::to_vec(&report).map_or(0, |body| body.len() as u64);
-    context.metrics.control_bytes.inc_by(HEAD_BYTES + size);
+    context.metrics.control_bytes.inc_by(HTTP_HEAD_BYTES + size);
     let message = Message::Report {
         service: service.id.clone(),
         upstream: upstream.id.clone(),
--- a/crates/jb-daemon/src/quarantine.rs
+++ b/crates/jb-daemon/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Evidence on poison requests behind the completions door, exchanged with other boxes.
+//! Quarantine of poison requests on the completions endpoint. Evidence is exchanged with other boxes.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -17,16 +17,16 @@
 use crate::context::Context;
 use crate::emit;
 
-/// Time for a connection that only shows whether an engine has ended; the next attempt waits for it
-/// where the engine gives no sign. With 50 ms, beside 40 busy processes, four engines and not three
-/// ended under one request in one run of four, in none of five with 300 ms.
-const PROBE: Duration = Duration::from_millis(300);
-/// Time in which a process that is ending closes a connection that its system has accepted.
+/// Timeout of a connection attempt that only tests whether an engine has crashed. The next attempt of the
+/// request is delayed by it if the engine does not respond. With 50 ms, on a machine with 40 busy processes,
+/// one request crashed four engines instead of three in one of four runs; with 300 ms in none of five.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time within which an exiting process closes a connection that its operating system has still accepted.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(50);
-/// Requests in one probe, the most dangerous first; each takes 100 bytes.
+/// Maximum number of suspects in one probe, the most dangerous first; each takes 100 bytes.
 const MAX_PER_PROBE: usize = 16;
 
-/// Requests that end engines.
+/// Evidence on requests that crash engines, and the trials in progress.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     ledger: Mutex<Ledger>,
@@ -37,36 +37,37 @@
         self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What is known of a request, which is worked out only once an engine has ended.
-    pub fn verdict(&self, content: impl FnOnce() -> Fingerprint, now: Moment) -> Verdict {
+    /// Returns the verdict on a request. The fingerprint is computed only if the ledger has any entry.
+    pub fn verdict(&self, fingerprint: impl FnOnce() -> Fingerprint, now: Moment) -> Verdict {
         let ledger = self.lock();
         if ledger.is_empty() {
             return Verdict::Unsuspected;
         }
-        ledger.verdict(content(), now)
+        ledger.verdict(fingerprint(), now)
     }
 
-    /// Engines that have a suspect.
+    /// Returns the engines that are running a suspected request.
     pub fn trials(&self, now: Moment) -> Vec<EngineId> {
         self.lock().trials(now)
     }
 
-    /// Notes that an engine gets a suspect; `false` when another try of it is under way.
-    pub fn begin(&self, content: Fingerprint, engine: EngineId, now: Moment) -> bool {
+    /// Records that an engine is given a suspected request. Returns `false`, and records nothing, if another
+    /// trial of the request is in progress.
+    pub fn begin_trial(&self, fingerprint: Fingerprint, engine: EngineId, now: Moment) -> bool {
         let mut ledger = self.lock();
-        let free = !ledger.has_trial(content, now);
-        if free {
-            ledger.begin_trial(content, engine, now);
+        let is_allowed = !ledger.has_trial(fingerprint, now);
+        if is_allowed {
+            ledger.begin_trial(fingerprint, engine, now);
         }
-        free
+        is_allowed
     }
 
-    /// Notes that an engine no longer has a suspect.
-    pub fn end(&self, content: Fingerprint, engine: EngineId) {
-        self.lock().end_trial(content, engine);
+    /// Records that an engine is no longer running a suspected request.
+    pub fn end_trial(&self, fingerprint: Fingerprint, engine: EngineId) {
+        self.lock().end_trial(fingerprint, engine);
     }
 
-    /// Returns the most dangerous requests, for another box.
+    /// Returns the most dangerous requests, as many as fit in one probe, to send to another box.
     pub fn most_dangerous(&self, now: Moment) -> Vec<Suspect> {
         let mut ledger = self.lock();
         if ledger.is_empty() {
@@ -90,72 +91,79 @@
 }
 
 fn from_wire(received: &Suspect, now: Moment) -> Option<Row> {
-    let content = u128::from_le_bytes(received.content.as_slice().try_into().ok()?);
+    let fingerprint = u128::from_le_bytes(received.content.as_slice().try_into().ok()?);
     Some(Row {
-        fingerprint: Fingerprint(content),
+        fingerprint: Fingerprint(fingerprint),
         evidence: Evidence::from_parts(&received.ended, &received.isolated, &received.well),
         at: now.saturating_sub(Duration::from_millis(received.age_ms)),
     })
 }
 
-/// Short name of an engine instance; one whose incarnation isn't known yet is one
-/// of its own.
-pub fn engine(upstream: &str, incarnation: Option<id::Incarnation>) -> EngineId {
+/// Returns the short hash that identifies an engine instance. An engine whose incarnation is not known yet
+/// counts as a separate instance.
+pub fn engine_id(upstream: &str, incarnation: Option<id::Incarnation>) -> EngineId {
     let instance = incarnation.unwrap_or_default();
     rendezvous::short_hash(rendezvous::weight(rendezvous::name_hash(upstream), instance))
 }
 
-/// Receives the evidence of another box.
+/// Merges the evidence received from another box.
 pub fn receive(context: &Context, received: &[Suspect]) {
     let now = context.clock.now();
     for row in received.iter().filter_map(|received| from_wire(received, now)) {
-        take(context, &row);
+        merge_row(context, &row);
     }
 }
 
-/// Notes what an engine has shown of a request.
-pub fn note(context: &Context, content: Fingerprint, evidence: Evidence) {
+/// Records local evidence about a request.
+pub fn record(context: &Context, fingerprint: Fingerprint, evidence: Evidence) {
     let at = context.clock.now();
-    take(
+    merge_row(
         context,
         &Row {
-            fingerprint: content,
+            fingerprint,
             evidence,
             at,
         },
     );
 }
 
-fn take(context: &Context, row: &Row) {
+fn merge_row(context: &Context, row: &Row) {
     let change = context.quarantine.lock().merge(row, context.clock.now());
     let Some(change) = change.filter(|change| change.before != change.after) else {
         return;
     };
-    let content = row.fingerprint;
+    let fingerprint = row.fingerprint;
     match change.after {
-        Verdict::Unsuspected => emit!(context.logger, info, event::REQUEST_CLEARED, "content" => %content),
-        Verdict::Suspected => emit!(context.logger, warn, event::REQUEST_SUSPECTED, "content" => %content),
-        Verdict::Quarantined => emit!(context.logger, warn, event::REQUEST_POISONOUS, "content" => %content),
+        Verdict::Unsuspected => {
+            emit!(context.logger, info, event::REQUEST_CLEARED, "content" => %fingerprint)
+        }
+        Verdict::Suspected => {
+            emit!(context.logger, warn, event::REQUEST_SUSPECTED, "content" => %fingerprint)
+        }
+        Verdict::Quarantined => {
+            emit!(context.logger, warn, event::REQUEST_POISONOUS, "content" => %fingerprint)
+        }
     }
 }
 
-/// Whether an engine has ended, after a connection to it was lost: it refuses another one, while one
-/// of its neighbours, if it has any, takes one; a cut may refuse connections as well.
-pub async fn has_ended(address: SocketAddr, neighbours: &[SocketAddr]) -> bool {
-    if !timeout(PROBE, refuses(address)).await.unwrap_or(false) {
+/// Returns whether an engine has crashed after a connection to it was lost: it refuses a new connection,
+/// and at least one of its neighbours, if it has any, accepts one. The neighbours are checked because
+/// connections may also be refused during a network partition.
+pub async fn has_crashed(address: SocketAddr, neighbours: &[SocketAddr]) -> bool {
+    if !timeout(CONNECT_TIMEOUT, refuses(address)).await.unwrap_or(false) {
         return false;
     }
     neighbours.is_empty() || accepts_any(neighbours).await
 }
 
-/// Returns whether an address refuses connections. The system of a process that is ending may still accept one, which
-/// it closes right after.
+/// Returns whether an address refuses connections. The operating system may still accept a connection for an
+/// exiting process and close it right after; the connection is then retried.
 async fn refuses(address: SocketAddr) -> bool {
     loop {
         let is_closed = match TcpStream::connect(address).await {
             Ok(stream) => is_closed(stream).await,
-            Err(why) if why.kind() == ErrorKind::ConnectionRefused => return true,
-            Err(why) => why.kind() == ErrorKind::ConnectionReset,
+            Err(error) if error.kind() == ErrorKind::ConnectionRefused => return true,
+            Err(error) => error.kind() == ErrorKind::ConnectionReset,
         };
         if !is_closed {
             return false;
@@ -163,16 +171,16 @@
     }
 }
 
-/// Returns whether the other side closes a new connection within [`CLOSE_TIMEOUT`].
+/// Returns whether the peer closes a new connection within [`CLOSE_TIMEOUT`].
 async fn is_closed(mut stream: TcpStream) -> bool {
     let read = timeout(CLOSE_TIMEOUT, stream.read(&mut [0])).await;
     matches!(read, Ok(Ok(0) | Err(_)))
 }
 
-/// Returns whether one of these addresses accepts a connection; some of them may have ended as well.
+/// Returns whether at least one of these addresses accepts a connection; others may have crashed as well.
 async fn accepts_any(addresses: &[SocketAddr]) -> bool {
     let connecting = addresses
         .iter()
         .map(|address| Box::pin(TcpStream::connect(address)));
-    matches!(timeout(PROBE, select_ok(connecting)).await, Ok(Ok(_)))
+    matches!(timeout(CONNECT_TIMEOUT, select_ok(connecting)).await, Ok(Ok(_)))
 }
--- a/crates/jb-daemon/src/run/session/isolation.rs
+++ b/crates/jb-daemon/src/run/session/isolation.rs
@@ -41,8 +41,8 @@
         }
         let now = self.context.clock.now();
         let quarantine = &self.context.quarantine;
-        let free =
-            !quarantine.trials(now).contains(&engine) && quarantine.begin(self.fingerprint(), engine, now);
+        let free = !quarantine.trials(now).contains(&engine)
+            && quarantine.begin_trial(self.fingerprint(), engine, now);
         self.trial = free.then_some(engine);
         free
     }
@@ -50,7 +50,7 @@
     /// Ends the trial of the request, if one is running.
     pub(super) fn end_trial(&mut self) {
         if let Some(engine) = self.trial.take() {
-            self.context.quarantine.end(self.fingerprint(), engine);
+            self.context.quarantine.end_trial(self.fingerprint(), engine);
         }
     }
 
@@ -69,9 +69,9 @@
             .iter()
             .filter(|u| u.hall == config.hall && u.id != config.id && !self.tried.contains(&u.id));
         let neighbours: Vec<SocketAddr> = near.take(MAX_NEIGHBOURS).map(|u| u.address).collect();
-        if quarantine::has_ended(config.address, &neighbours).await {
+        if quarantine::has_crashed(config.address, &neighbours).await {
             let evidence = Evidence::from_crash(upstream.instance, self.trial.is_some());
-            quarantine::note(&self.context, self.fingerprint(), evidence);
+            quarantine::record(&self.context, self.fingerprint(), evidence);
         }
     }
 
@@ -80,7 +80,7 @@
         if let (Some(Attempt::Engine(_)), Some(upstream)) = (&self.attempt, &self.last_engine)
             && self.verdict() != Verdict::Unsuspected
         {
-            quarantine::note(
+            quarantine::record(
                 &self.context,
                 self.fingerprint(),
                 Evidence::from_completion(upstream.instance),
