--- a/crates/jb-relay/src/attempt.rs
+++ b/crates/jb-relay/src/attempt.rs
@@ -124,7 +124,7 @@
     if entry.hall != core.settings.hall && matches!(why, link::Error::Silent(_)) {
         core.reach
             .borrow_mut()
-            .note_timeout(&entry.hall, instance.name(), core.now());
+            .note_timeout(&entry.hall, instance.name_hash(), core.now());
     }
 }
 
--- a/crates/jb-relay/src/exchange/ask.rs
+++ b/crates/jb-relay/src/exchange/ask.rs
@@ -118,7 +118,7 @@
             .core
             .upstreams
             .borrow()
-            .connected(&self.wanted, MAX_CONNECTED, now);
+            .with_idle_connections(&self.wanted, MAX_CONNECTED, now);
         if !near.contains(own) {
             near.push(own.clone());
         }
@@ -247,7 +247,7 @@
     /// Engines that may keep a family though it is not theirs now, because they were its own before.
     fn holders(&self, family: u64, own: &Instance) -> Vec<Instance> {
         let upstreams = self.core.upstreams.borrow();
-        let first = upstreams.holders_first(family, &self.wanted, MAX_ASKED, self.core.now());
+        let first = upstreams.ranked_exporters(family, &self.wanted, MAX_ASKED, self.core.now());
         first.into_iter().filter(|instance| instance != own).collect()
     }
 
--- a/crates/jb-relay/src/exchange/count.rs
+++ b/crates/jb-relay/src/exchange/count.rs
@@ -37,7 +37,7 @@
             .borrow_mut()
             .begin_request(instance, waiting, fixed)
         {
-            ahead = upstream.waiting + upstream.others.waiting;
+            ahead = upstream.waiting + upstream.peer_load.waiting;
             peers::announce_prompt(core, upstream, waiting);
         }
         Self {
--- a/crates/jb-relay/src/exchange/isolation.rs
+++ b/crates/jb-relay/src/exchange/isolation.rs
@@ -98,7 +98,10 @@
         let wanted = place::wanted(core, request, self.message.body, &self.tried, Among::Sure);
         let instances = |instance: &Instance| !ended.contains(&quarantine::engine(instance));
         let free = |instance: &Instance| !trials.contains(&quarantine::engine(instance));
-        let instance = core.upstreams.borrow().quietest(&wanted, instances, free, now)?;
+        let instance = core
+            .upstreams
+            .borrow()
+            .least_loaded(&wanted, instances, free, now)?;
         Some(Choice {
             instance,
             estimate: Estimate {
--- a/crates/jb-relay/src/exchange/place.rs
+++ b/crates/jb-relay/src/exchange/place.rs
@@ -177,7 +177,7 @@
 /// When the first upstream is back, where all that a new try of the request could go to rest.
 pub(super) fn first_back(core: &Core, request: &AdmittedRequest, body: &Bytes) -> Option<Moment> {
     let wanted = wanted(core, request, body, &[], Among::All);
-    core.upstreams.borrow().first_back(&wanted, core.now())
+    core.upstreams.borrow().next_available_at(&wanted, core.now())
 }
 
 pub(super) fn wanted<'a>(
--- a/crates/jb-relay/src/exchange/prompt.rs
+++ b/crates/jb-relay/src/exchange/prompt.rs
@@ -35,11 +35,14 @@
             return self.place_advised(instance, last.tokens, advice);
         }
         let wanted = place::wanted(core, request, self.message.body, &self.tried, Among::Sure);
-        let other = core.upstreams.borrow().source(instance, &wanted, core.now());
+        let other = core
+            .upstreams
+            .borrow()
+            .cache_source(instance, &wanted, core.now());
         let Some((found, version)) = self.note_read(instance, shared, last.tokens + request.out) else {
             return 0;
         };
-        let engine = found + other.map_or(0, |source| source.tokens);
+        let engine = found + other.map_or(0, |source| source.extra_tokens);
         let holdings = self.holdings(shared, version, found, engine);
         let plan = transfer::plan(&holdings);
         self.message.source = match plan.origin {
@@ -59,8 +62,8 @@
             "brought" => plan.tokens, "unread" => unread, "origin" => ?plan.origin,
             "from" => self.message.source.map(|from| from.to_string()), "to_store" => self.message.store.is_some(),
             "family" => self.demand().prefix_group(),
-            "running" => upstream.map(|upstream| upstream.running + upstream.others.running),
-            "waiting" => upstream.map(|upstream| upstream.waiting + upstream.others.waiting), "weights" => version);
+            "running" => upstream.map(|upstream| upstream.running + upstream.peer_load.running),
+            "waiting" => upstream.map(|upstream| upstream.waiting + upstream.peer_load.waiting), "weights" => version);
         unread
     }
 
@@ -110,10 +113,10 @@
         let mut upstreams = self.core.upstreams.borrow_mut();
         let upstream = upstreams.instance_mut(instance)?;
         let found = upstream.cache.cached_tokens(&request.prompt);
-        upstream.set_memory(self.memory());
+        upstream.set_kv_capacity(self.memory());
         upstream.cache.insert(shared.iter().copied(), own);
         let placed = SentPrompt {
-            target: upstream.name,
+            target: upstream.name_hash,
             version: 0,
             shared,
             own,
--- a/crates/jb-relay/src/peers/outbox.rs
+++ b/crates/jb-relay/src/peers/outbox.rs
@@ -53,9 +53,10 @@
         return;
     }
     let mut notices = core.notices.borrow_mut();
-    notices
-        .sent
-        .push((rendezvous::short_hash(upstream.name), saturating_cast(tokens)));
+    notices.sent.push((
+        rendezvous::short_hash(upstream.name_hash),
+        saturating_cast(tokens),
+    ));
     notices.wake.notify_one();
 }
 
@@ -89,7 +90,7 @@
     core.notices
         .borrow_mut()
         .replaced
-        .push(rendezvous::short_hash(upstream.name));
+        .push(rendezvous::short_hash(upstream.name_hash));
 }
 
 /// Notes that an upstream has signalled that it drains, for the other boxes: while the store is down each would
@@ -98,7 +99,7 @@
     core.notices
         .borrow_mut()
         .draining
-        .push(rendezvous::short_hash(upstream.name));
+        .push(rendezvous::short_hash(upstream.name_hash));
 }
 
 /// Notes that an upstream has become limited or unlimited, to announce it to the other boxes.
@@ -106,7 +107,7 @@
     core.notices
         .borrow_mut()
         .limits
-        .push(rendezvous::short_hash(upstream.name));
+        .push(rendezvous::short_hash(upstream.name_hash));
 }
 
 /// Broadcasts the signals of upstreams.
--- a/crates/jb-relay/src/peers/reservation.rs
+++ b/crates/jb-relay/src/peers/reservation.rs
@@ -194,9 +194,9 @@
 fn owner(core: &Core, engine: &Instance) -> Option<AccountOwner> {
     let upstreams = core.upstreams.borrow();
     let upstream = upstreams.instance(engine)?;
-    let name = rendezvous::short_hash(upstream.name);
+    let name = rendezvous::short_hash(upstream.name_hash);
     let book = core.book.borrow();
-    let owner = book.owner(upstream.name, &upstream.entry.hall, core.now());
+    let owner = book.owner(upstream.name_hash, &upstream.entry.hall, core.now());
     let owner = owner.filter(|(id, _)| *id != core.settings.id);
     Some((name, owner))
 }
@@ -264,7 +264,7 @@
     let mut upstreams = core.upstreams.borrow_mut();
     let upstream = upstreams.by_short_name_mut(question.engine)?;
     let memory = memory(&upstream.entry.service).unwrap_or_default();
-    upstream.set_memory(memory);
+    upstream.set_kv_capacity(memory);
     let shared: Vec<Segment> = question
         .shared
         .iter()
@@ -276,7 +276,7 @@
     let all: u64 = shared.iter().map(|segment| segment.tokens).sum();
     let found = upstream.cache.cached_tokens(&shared);
     let load = upstream.account.load();
-    let open = upstream.is_open(now);
+    let open = upstream.is_available(now);
     let slots = upstream.entry.slots;
     let taken = match question.room {
         Admission::Always => true,
--- a/crates/jb-relay/src/peers/status.rs
+++ b/crates/jb-relay/src/peers/status.rs
@@ -164,9 +164,9 @@
 fn own_loads(core: &Core) -> Vec<UpstreamLoad> {
     let upstreams = core.upstreams.borrow();
     let load = |u: &Upstream| UpstreamLoad {
-        upstream: rendezvous::short_hash(u.name),
+        upstream: rendezvous::short_hash(u.name_hash),
         running: u.running,
-        fixed: u.fixed,
+        fixed: u.pinned,
         waiting: u.waiting,
     };
     upstreams.busy().map(load).collect()
@@ -234,7 +234,7 @@
     }
     let mut upstreams = core.upstreams.borrow_mut();
     let upstream = upstreams.by_short_name_mut(rendezvous::short_hash(status.place));
-    if let Some(upstream) = upstream.filter(|upstream| upstream.name == status.place) {
+    if let Some(upstream) = upstream.filter(|upstream| upstream.name_hash == status.place) {
         upstream.cache.insert(shared, own);
     }
 }
@@ -253,9 +253,9 @@
     for &name in names {
         let others = loads.others(name);
         if let Some(upstream) = upstreams.by_short_name_mut(name) {
-            upstream.others = Load {
+            upstream.peer_load = Load {
                 running: others.running,
-                fixed: others.fixed,
+                pinned: others.fixed,
                 waiting: others.waiting,
             };
         }
--- a/crates/jb-relay/src/quarantine.rs
+++ b/crates/jb-relay/src/quarantine.rs
@@ -81,7 +81,7 @@
 
 /// Name under which boxes speak of a life.
 pub fn engine(instance: &Instance) -> EngineId {
-    rendezvous::short_hash(instance.name())
+    rendezvous::short_hash(instance.name_hash())
 }
 
 /// Notes that an engine has ended while it ran a request; `apart`: as the only suspect there.
