--- a/crates/jb-relay/src/exchange/selection.rs
+++ b/crates/jb-relay/src/exchange/selection.rs
@@ -186,7 +186,7 @@
 /// back off or are rate-limited.
 pub(super) fn earliest_availability(core: &Core, request: &AdmittedRequest, body: &Bytes) -> Option<Moment> {
     let wanted = wanted(core, request, body, &[], CandidateSet::All);
-    core.upstreams.borrow().first_back(&wanted, core.now())
+    core.upstreams.borrow().next_available_at(&wanted, core.now())
 }
 
 pub(super) fn wanted<'a>(
@@ -203,7 +203,7 @@
         weights: model
             .and_then(|model| core.weights.borrow().get(model).cloned())
             .unwrap_or_default(),
-        weights_time: core.settings.bounds.old_weights_grace.mul_f64(OLD_WEIGHTS_SHARE),
+        old_weights_grace: core.settings.bounds.old_weights_grace.mul_f64(OLD_WEIGHTS_SHARE),
         own_hall: &core.settings.hall,
         demand: demand(request, body),
         excluded: tried,
--- a/crates/jb-relay/src/follow/mod.rs
+++ b/crates/jb-relay/src/follow/mod.rs
@@ -1,4 +1,4 @@
-//! Follows the platform's store: the configuration, upstreams, weights, and the boxes' own items.
+//! Follows changes of the platform's store: the configuration, upstreams, weights, and items of the boxes.
 
 mod facts;
 mod missing;
@@ -6,4 +6,4 @@
 mod run;
 mod start_up;
 
-pub use run::{PERIOD, run};
+pub use run::{POLL_INTERVAL, run};
--- a/crates/jb-relay/src/upstream/state.rs
+++ b/crates/jb-relay/src/upstream/state.rs
@@ -1,4 +1,4 @@
-//! One upstream as a box sees it.
+//! State of one upstream as observed by this box.
 
 use std::time::Duration;
 
@@ -14,85 +14,85 @@
 use crate::pool::IdleConnection;
 use crate::port::Entry;
 
-/// Time for which an upstream that refuses connections after one was lost gets nothing: as long as the first
-/// two pauses after failures.
-const ENDED_PAUSE: Duration = Duration::from_secs(1);
+/// Time for which an upstream that refuses connections after losing one receives no requests: as long as the
+/// first two pauses after failures.
+const DOWN_TIME: Duration = Duration::from_secs(1);
 
-/// Percent of an engine's memory that caches segments while requests run in the rest.
+/// Percent of an engine's KV memory that holds cached segments; running requests use the rest.
 const CACHE_PERCENT: u64 = 90;
 
-/// One instance of an upstream, with everything that holds for it alone.
+/// One instance of an upstream, with all state that ends with it.
 #[derive(Debug)]
 pub struct Upstream {
-    /// Instance.
+    /// Identity of the instance.
     pub instance: Instance,
-    /// Its last readable entry in the store.
+    /// Last readable entry in the store.
     pub entry: Entry,
-    /// Whether its present entry can't be read.
+    /// Whether the current entry can't be decoded.
     pub unreadable: bool,
-    /// Hash that names the instance, also for the choice.
-    pub name: u64,
-    /// Record of failures.
+    /// Hash of the instance, for messages between boxes and for ranking.
+    pub name_hash: u64,
+    /// Failure history and ejection state.
     pub health: Health,
-    /// Requests of this box under way there.
+    /// Requests of this box in progress.
     pub running: u32,
-    /// Those of them that cannot go on at another upstream.
-    pub fixed: u32,
-    /// Prompt tokens of this box that wait for their first token there.
+    /// Requests of this box in progress that can't be continued on another upstream.
+    pub pinned: u32,
+    /// Prompt tokens of this box's requests that have not received their first token.
     pub waiting: u64,
-    /// The same of all other boxes, by their last status.
-    pub others: Load,
-    /// Backoff that it has asked this box for.
+    /// Load from all other boxes, by their last status messages.
+    pub peer_load: Load,
+    /// Backoff that the upstream has requested from this box.
     pub backoff: Backoff,
-    /// Rate limit that it has announced for all boxes together.
-    pub limit: Limit,
-    /// Until when it gets nothing because it loads weights.
+    /// Rate limit that the upstream has announced for all boxes together.
+    pub rate_limit: Limit,
+    /// Time until which it receives no requests because it loads weights.
     pub loading_until: Moment,
-    /// Until when it counts as ended, as it refuses connections.
-    pub ended_until: Moment,
-    /// Until when its entry, which is missing after an outage of the store, may come back.
+    /// Time until which it is considered down because it refuses connections.
+    pub down_until: Moment,
+    /// Time until which its entry, missing after a store outage, may reappear; `None` if the entry is present.
     pub expired: Option<Moment>,
-    /// Whether another instance answers at its address.
-    pub refused: bool,
+    /// Whether another instance responds at its address.
+    pub replaced: bool,
     /// Whether another box has reported that it drains.
     pub draining_by_peer: bool,
-    /// Model of its prefix cache.
+    /// Model of the engine's prefix cache.
     pub cache: PrefixCache,
-    /// Its account, where this box keeps it.
+    /// Account of the upstream, used if this box owns it.
     pub account: Reservations,
-    /// Idle connections, the last used at the end.
+    /// Idle connections, the most recently used last.
     pub idle: Vec<IdleConnection>,
 }
 
-/// Load of an upstream.
+/// Load on an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Requests under way.
+    /// Requests in progress.
     pub running: u32,
-    /// Those of them that cannot go on at another upstream.
-    pub fixed: u32,
-    /// Prompt tokens that wait for their first token.
+    /// Requests in progress that can't be continued on another upstream.
+    pub pinned: u32,
+    /// Prompt tokens of requests that have not received their first token.
     pub waiting: u64,
 }
 
 impl Upstream {
     pub(super) fn new(instance: Instance, entry: Entry) -> Self {
         Self {
-            name: instance.name(),
+            name_hash: instance.name_hash(),
             instance,
             entry,
             unreadable: false,
             health: Health::default(),
             running: 0,
-            fixed: 0,
+            pinned: 0,
             waiting: 0,
-            others: Load::default(),
+            peer_load: Load::default(),
             backoff: Backoff::default(),
-            limit: Limit::default(),
+            rate_limit: Limit::default(),
             loading_until: Moment::ZERO,
-            ended_until: Moment::ZERO,
+            down_until: Moment::ZERO,
             expired: None,
-            refused: false,
+            replaced: false,
             draining_by_peer: false,
             cache: PrefixCache::default(),
             account: Reservations::default(),
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Applies another entry of the same instance. It may be older than what other sources have shown, as in a
-    /// restored store, and an instance's weights never get older.
+    /// Applies another entry of the same instance. The entry may be older than what other sources have reported,
+    /// as in a restored store, so weight versions are never lowered: an instance never loads older weights.
     pub(super) fn update(&mut self, mut entry: Entry) {
         for loaded in &mut entry.models {
             let known = self.entry.weights(&loaded.model);
@@ -115,51 +115,55 @@
         self.unreadable = false;
     }
 
-    /// Returns whether it neither drains nor has an unreadable entry.
-    pub fn is_there(&self) -> bool {
+    /// Returns whether the upstream neither drains nor has an unreadable entry.
+    pub fn is_in_rotation(&self) -> bool {
         !self.entry.draining && !self.draining_by_peer && !self.unreadable
     }
 
-    /// Whether it may get a new request.
-    pub fn is_open(&self, now: Moment) -> bool {
-        self.is_open_later(now) && !self.is_held_back(now)
+    /// Returns whether the upstream can receive a new request now.
+    pub fn is_available(&self, now: Moment) -> bool {
+        self.is_eligible(now) && !self.is_throttled(now)
     }
 
-    /// Whether it accepts nothing from this box for the moment: it asked for backoff, or its rate limit is
-    /// used up.
-    pub(super) fn is_held_back(&self, now: Moment) -> bool {
-        self.backoff.blocks(self.running, now) || self.limit.is_blocked(now)
+    /// Returns whether the upstream accepts nothing from this box for now: it requested backoff, or its rate
+    /// limit is exhausted.
+    pub(super) fn is_throttled(&self, now: Moment) -> bool {
+        self.backoff.blocks(self.running, now) || self.rate_limit.is_blocked(now)
     }
 
-    /// When it accepts requests again.
-    pub(super) fn held_back_until(&self) -> Moment {
-        self.backoff.until().max(self.limit.blocked_until())
+    /// Returns when backoff and rate limit allow requests again.
+    pub(super) fn throttled_until(&self) -> Moment {
+        self.backoff.until().max(self.rate_limit.blocked_until())
     }
 
-    /// Whether it may get a new request once it isn't held back any more.
-    pub fn is_open_later(&self, now: Moment) -> bool {
-        let busy = now < self.loading_until || now < self.ended_until;
-        let comes_back = self.expired.is_none_or(|until| now < until);
-        comes_back && self.is_there() && !self.refused && !busy && self.health.is_available(now)
+    /// Returns whether the upstream can receive a new request once it is no longer throttled.
+    pub fn is_eligible(&self, now: Moment) -> bool {
+        let blocked = now < self.loading_until || now < self.down_until;
+        let may_reappear = self.expired.is_none_or(|until| now < until);
+        may_reappear && self.is_in_rotation() && !self.replaced && !blocked && self.health.is_available(now)
     }
 
-    /// Whether it has asked for a backoff that isn't over.
+    /// Returns whether a backoff that the upstream requested is still in effect.
     pub fn is_backing_off(&self, now: Moment) -> bool {
         self.backoff.is_active(now)
     }
 
-    /// Whether another engine can take parts from it.
-    pub(super) fn hands_on(&self, now: Moment) -> bool {
-        let loads = now < self.loading_until;
-        !loads && !self.refused && !self.unreadable && self.expired.is_none() && self.health.is_available(now)
+    /// Returns whether other engines can import cached segments from this one.
+    pub(super) fn can_export(&self, now: Moment) -> bool {
+        let is_loading = now < self.loading_until;
+        !is_loading
+            && !self.replaced
+            && !self.unreadable
+            && self.expired.is_none()
+            && self.health.is_available(now)
     }
 
-    /// Last known version of a model's weights.
+    /// Returns the last known version of a model's weights; `None` if the engine doesn't serve the model.
     pub fn weights(&self, model: &str) -> Option<u64> {
         self.entry.weights(model)
     }
 
-    /// Applies a version of its weights; the cache goes with the old ones.
+    /// Applies an observed version of the weights. A different version clears the prefix cache.
     pub fn observe_weights(&mut self, model: &str, version: u64) {
         let loaded = self.entry.models.iter_mut().find(|loaded| loaded.model == model);
         let Some(loaded) = loaded else { return };
@@ -169,32 +173,36 @@
         }
     }
 
-    /// Sets the engine's memory; requests run in a part of it.
-    pub fn set_memory(&mut self, tokens: u64) {
+    /// Sets the engine's KV memory in tokens, a part of which is used by running requests.
+    pub fn set_kv_capacity(&mut self, tokens: u64) {
         self.cache.set_capacity(tokens * CACHE_PERCENT / 100);
     }
 
-    /// Notes that it seems to have ended, as it refuses connections.
-    pub fn note_end(&mut self, now: Moment) {
-        self.ended_until = now + ENDED_PAUSE;
+    /// Excludes the upstream for a short time because it refuses connections.
+    pub fn mark_down(&mut self, now: Moment) {
+        self.down_until = now + DOWN_TIME;
     }
 
-    pub(crate) fn candidate(&self, wanted: &Criteria<'_>, behind: bool) -> Candidate {
-        let hall = wanted.own_hall;
-        let demand = &wanted.demand;
+    pub(crate) fn candidate(&self, criteria: &Criteria<'_>, behind: bool) -> Candidate {
+        let hall = criteria.own_hall;
+        let demand = &criteria.demand;
         Candidate {
-            name_hash: self.name,
+            name_hash: self.name_hash,
             own_hall: self.entry.hall == hall,
-            running: self.running + self.others.running,
+            running: self.running + self.peer_load.running,
             slots: self.entry.slots,
-            queued_tokens: self.waiting + self.others.waiting,
+            queued_tokens: self.waiting + self.peer_load.waiting,
             cached_tokens: self.cache.cached_tokens(demand.prompt),
             peer_cached_tokens: 0,
             has_stale_weights: behind,
-            slowdown: if self.entry.warm_up.is_zero() { 1.0 } else { COLD },
+            slowdown: if self.entry.warm_up.is_zero() {
+                1.0
+            } else {
+                COLD_SLOWNESS
+            },
         }
     }
 }
 
-/// Factor on the time of an upstream that is still slow from its start.
-const COLD: f64 = 2.0;
+/// Factor on the estimated time of an upstream that is still slow after its start.
+const COLD_SLOWNESS: f64 = 2.0;
