--- a/crates/jb-relay/src/core.rs
+++ b/crates/jb-relay/src/core.rs
@@ -52,7 +52,7 @@
     /// Names of the platform's headers.
     pub header_names: HeaderNames,
     /// Cost parameters of upstream selection.
-    pub tuning: CostModel,
+    pub cost_model: CostModel,
     /// Store of the platform.
     pub store: Rc<dyn Store>,
     /// Control calls to engines.
@@ -154,7 +154,7 @@
         Rc::new(Self {
             settings: components.settings,
             header_names: components.header_names,
-            tuning: CostModel::default(),
+            cost_model: CostModel::default(),
             store: components.store,
             engines: components.engines,
             logger: components.logger,
--- a/crates/jb-relay/src/exchange/account_query.rs
+++ b/crates/jb-relay/src/exchange/account_query.rs
@@ -29,11 +29,11 @@
 const MAX_CONNECTED: usize = 3;
 
 /// State of the selected engine according to its account.
-pub(super) struct Advice {
+pub(super) struct AccountState {
     /// Load of the engine.
     pub load: Load,
     /// Reservation at the engine.
-    pub held: Reservation,
+    pub reservation: Reservation,
     /// Tokens of the prompt that the engine has cached.
     pub found: u64,
     /// Another engine that has more of the prompt cached, and how many tokens.
@@ -56,34 +56,34 @@
     request: &AdmittedRequest,
     body: &Bytes,
     tried: &[Instance],
-    among: CandidateSet,
+    candidate_set: CandidateSet,
 ) -> Option<Choice> {
     let (last, shared) = request.prompt.split_last()?;
     let query = AccountQuery {
         core,
-        wanted: selection::wanted(core, request, body, tried, among),
+        criteria: selection::criteria(core, request, body, tried, candidate_set),
         prompt: Prompt {
             shared,
             own: last.tokens + request.max_output_tokens,
             deadline: request.deadline,
         },
-        tuning: selection::tuning(core, request),
+        cost_model: selection::cost_model(core, request),
         place: peers::draw_reservation_id(core),
     };
-    let family = query.wanted.demand.prefix_group()?;
+    let group = query.criteria.demand.prefix_group()?;
     let ranked = core
         .upstreams
         .borrow()
-        .ranked(family, &query.wanted, MAX_QUERIED_ACCOUNTS, core.now());
-    let (own, others) = ranked.split_first()?;
-    let looked = if query.is_barely_shared() {
-        query.query_connected(own).await
+        .ranked(group, &query.criteria, MAX_QUERIED_ACCOUNTS, core.now());
+    let (home, others) = ranked.split_first()?;
+    let round = if query.is_barely_shared() {
+        query.query_connected(home).await
     } else {
         query
-            .query_home(own, others, family, request.route.target_latency)
+            .query_home(home, others, group, request.route.target_latency)
             .await
     };
-    let mut queried = match looked {
+    let mut queried = match round {
         QueryRound::Chosen(choice) => return Some(*choice),
         QueryRound::Candidates(queried) => queried,
     };
@@ -94,9 +94,9 @@
 /// Selection of an engine for one prompt.
 struct AccountQuery<'a> {
     core: &'a Shared,
-    wanted: Criteria<'a>,
+    criteria: Criteria<'a>,
     prompt: Prompt<'a>,
-    tuning: CostModel,
+    cost_model: CostModel,
     place: ReservationId,
 }
 
@@ -111,26 +111,26 @@
 impl AccountQuery<'_> {
     /// Returns whether the prompt shares so few tokens that it is placed by load alone.
     fn is_barely_shared(&self) -> bool {
-        self.wanted.demand.shared_tokens() < MIN_SHARED_TOKENS
+        self.criteria.demand.shared_tokens() < MIN_SHARED_TOKENS
     }
 
     /// Queries the candidates for a prompt that shares few tokens: engines with an open connection, and the prefix
     /// group's home engine. Prefilling the shared tokens again costs less than a new connection, and placement
     /// by load spreads the work evenly over fast and slow engines.
-    async fn query_connected(&self, own: &Instance) -> QueryRound {
+    async fn query_connected(&self, home: &Instance) -> QueryRound {
         let now = self.core.now();
         let mut near = self
             .core
             .upstreams
             .borrow()
-            .with_idle_connections(&self.wanted, MAX_CONNECTED, now);
-        if !near.contains(own) {
-            near.push(own.clone());
+            .with_idle_connections(&self.criteria, MAX_CONNECTED, now);
+        if !near.contains(home) {
+            near.push(home.clone());
         }
         let queried = self.query_accounts(&near).await;
         if queried.is_empty() {
-            let held = peers::hold_reservation(self.core, own, self.place);
-            return QueryRound::Chosen(Box::new(unadvised(held, own)));
+            let reservation = peers::hold_reservation(self.core, home, self.place);
+            return QueryRound::Chosen(Box::new(choice_without_account(reservation, home)));
         }
         QueryRound::Candidates(queried)
     }
@@ -138,34 +138,34 @@
     /// Requests a reservation at the prefix group's home engine, and queries other engines if it has no room.
     async fn query_home(
         &self,
-        own: &Instance,
+        home: &Instance,
         others: &[Instance],
-        family: u64,
+        group: u64,
         target: Duration,
     ) -> QueryRound {
-        let queued_tokens = reservation::max_queued_tokens(self.tuning.prefill_tokens_per_ms, target);
+        let queued_tokens = reservation::max_queued_tokens(self.cost_model.prefill_tokens_per_ms, target);
         let room = Admission::QueueLimit(saturating_cast(queued_tokens));
-        let held = peers::hold_reservation(self.core, own, self.place);
-        let Some(view) = peers::request_reservation(self.core, own, self.place, &self.prompt, room).await
+        let reservation = peers::hold_reservation(self.core, home, self.place);
+        let Some(view) = peers::request_reservation(self.core, home, self.place, &self.prompt, room).await
         else {
-            return QueryRound::Chosen(Box::new(unadvised(held, own)));
+            return QueryRound::Chosen(Box::new(choice_without_account(reservation, home)));
         };
-        let first = self.queried(own, view);
-        if let Some(own) = first.as_ref().filter(|_| view.is_reserved) {
+        let first = self.queried(home, view);
+        if let Some(home) = first.as_ref().filter(|_| view.is_reserved) {
             let missing = self
-                .wanted
+                .criteria
                 .demand
                 .shared_tokens()
                 .saturating_sub(view.cached_tokens);
             let rest = if missing >= MIN_SHARED_TOKENS {
-                self.query_accounts(&self.previous_homes(family, &own.instance))
+                self.query_accounts(&self.previous_homes(group, &home.instance))
                     .await
             } else {
                 Vec::new()
             };
-            return QueryRound::Chosen(Box::new(self.build_choice(own, held, &rest)));
+            return QueryRound::Chosen(Box::new(self.build_choice(home, reservation, &rest)));
         }
-        drop(held);
+        drop(reservation);
         let others = self.query_accounts(others).await;
         QueryRound::Candidates(first.into_iter().chain(others).collect())
     }
@@ -182,30 +182,30 @@
             queried.candidate.peer_cached_tokens = queried.candidate.peer_cached_tokens.max(most);
         }
         let candidates: Vec<Candidate> = queried.iter().map(|queried| queried.candidate).collect();
-        let tuning = if self.is_barely_shared() {
-            self.tuning.for_unshared_prompt()
+        let cost_model = if self.is_barely_shared() {
+            self.cost_model.for_unshared_prompt()
         } else {
-            self.tuning
+            self.cost_model
         };
-        let at = placement::best(&candidates, &self.wanted.demand, &tuning)?;
+        let at = placement::best(&candidates, &self.criteria.demand, &cost_model)?;
         let mut best = queried.swap_remove(at);
         let estimate = self.estimate(&best);
-        let verdict = if first {
+        let decision = if first {
             selection::admission_verdict(self.core, request, &estimate)
         } else {
             Decision::Send
         };
-        if verdict != Decision::Send {
+        if decision != Decision::Send {
             return Some(Choice {
                 instance: best.instance,
                 estimate,
-                verdict,
+                decision,
                 full: best.candidate.is_full(),
                 isolated: false,
-                advice: None,
+                account: None,
             });
         }
-        let held = peers::hold_reservation(self.core, &best.instance, self.place);
+        let reservation = peers::hold_reservation(self.core, &best.instance, self.place);
         if let Some(view) = peers::request_reservation(
             self.core,
             &best.instance,
@@ -217,21 +217,21 @@
         {
             best.view = view;
         }
-        Some(self.build_choice(&best, held, &queried))
+        Some(self.build_choice(&best, reservation, &queried))
     }
 
     fn estimate(&self, queried: &QueriedEngine) -> Estimate {
         Estimate {
-            ttft: placement::time_to_first_token(&queried.candidate, &self.wanted.demand, &self.tuning),
+            ttft: placement::time_to_first_token(&queried.candidate, &self.criteria.demand, &self.cost_model),
             has_queue: queried.view.load.queued_tokens > 0,
         }
     }
 
     /// Builds the choice of an engine, with the best other engine to transfer cached segments from.
-    fn build_choice(&self, best: &QueriedEngine, held: Reservation, rest: &[QueriedEngine]) -> Choice {
+    fn build_choice(&self, best: &QueriedEngine, reservation: Reservation, rest: &[QueriedEngine]) -> Choice {
         let upstreams = self.core.upstreams.borrow();
         let weights = |instance: &Instance| {
-            let model = self.wanted.model?;
+            let model = self.criteria.model?;
             upstreams.instance(instance)?.weights(model)
         };
         let better = rest.iter().filter(|other| {
@@ -246,11 +246,11 @@
             });
         Choice {
             estimate: self.estimate(best),
-            verdict: Decision::Send,
+            decision: Decision::Send,
             full: best.candidate.is_full(),
             isolated: false,
-            advice: Some(Advice {
-                held,
+            account: Some(AccountState {
+                reservation,
                 load: best.view.load,
                 found: best.view.cached_tokens,
                 other,
@@ -262,10 +262,10 @@
     }
 
     /// Returns the engines that may have a prefix group cached because they were its home before.
-    fn previous_homes(&self, family: u64, own: &Instance) -> Vec<Instance> {
+    fn previous_homes(&self, group: u64, home: &Instance) -> Vec<Instance> {
         let upstreams = self.core.upstreams.borrow();
-        let first = upstreams.ranked_exporters(family, &self.wanted, MAX_QUERIED_ACCOUNTS, self.core.now());
-        first.into_iter().filter(|instance| instance != own).collect()
+        let first = upstreams.ranked_exporters(group, &self.criteria, MAX_QUERIED_ACCOUNTS, self.core.now());
+        first.into_iter().filter(|instance| instance != home).collect()
     }
 
     /// Queries the accounts of engines without a reservation.
@@ -283,15 +283,15 @@
     fn queried(&self, instance: &Instance, view: EngineState) -> Option<QueriedEngine> {
         let upstreams = self.core.upstreams.borrow();
         let upstream = upstreams.instance(instance)?;
-        let has = self.wanted.model.and_then(|model| upstream.weights(model));
-        let behind = has.is_some_and(|has| has < self.wanted.weights.newest());
-        let shared = self.wanted.demand.shared_tokens();
+        let has = self.criteria.model.and_then(|model| upstream.weights(model));
+        let behind = has.is_some_and(|has| has < self.criteria.weights.newest());
+        let shared = self.criteria.demand.shared_tokens();
         let candidate = Candidate {
             running: view.load.running,
             queued_tokens: view.load.queued_tokens,
             cached_tokens: view.cached_tokens,
             peer_cached_tokens: if view.is_stored { shared } else { 0 },
-            ..upstream.candidate(&self.wanted, behind)
+            ..upstream.candidate(&self.criteria, behind)
         };
         Some(QueriedEngine {
             instance: instance.clone(),
@@ -302,18 +302,18 @@
 }
 
 /// Builds the choice of an engine whose account did not answer.
-fn unadvised(held: Reservation, own: &Instance) -> Choice {
+fn choice_without_account(reservation: Reservation, home: &Instance) -> Choice {
     Choice {
-        instance: own.clone(),
+        instance: home.clone(),
         estimate: Estimate {
             ttft: Duration::ZERO,
             has_queue: false,
         },
-        verdict: Decision::Send,
+        decision: Decision::Send,
         full: false,
         isolated: false,
-        advice: Some(Advice {
-            held,
+        account: Some(AccountState {
+            reservation,
             load: Load::default(),
             found: 0,
             other: None,
--- a/crates/jb-relay/src/exchange/isolation.rs
+++ b/crates/jb-relay/src/exchange/isolation.rs
@@ -93,7 +93,7 @@
             (ledger.trials(now), ledger.crashed_engines(content))
         };
         let request = self.message.request;
-        let wanted = selection::wanted(
+        let criteria = selection::criteria(
             core,
             request,
             self.message.body,
@@ -105,17 +105,17 @@
         let instance = core
             .upstreams
             .borrow()
-            .least_loaded(&wanted, instances, free, now)?;
+            .least_loaded(&criteria, instances, free, now)?;
         Some(Choice {
             instance,
             estimate: Estimate {
                 ttft: Duration::ZERO,
                 has_queue: false,
             },
-            verdict: Decision::Send,
+            decision: Decision::Send,
             full: false,
             isolated: true,
-            advice: None,
+            account: None,
         })
     }
 
--- a/crates/jb-relay/src/exchange/kv_transfer.rs
+++ b/crates/jb-relay/src/exchange/kv_transfer.rs
@@ -8,7 +8,7 @@
 use jb_policy::weights::Version;
 use jb_protocol::{emit, event};
 
-use super::account_query::Advice;
+use super::account_query::AccountState;
 use super::run::Exchange;
 use super::selection::{self, CandidateSet};
 use crate::peers::{self, SentPrompt};
@@ -25,16 +25,16 @@
 
     /// Decides from where the engine loads segments that it has not cached, and whether it writes them to a cache
     /// store. Returns the tokens that the engine has to prefill.
-    pub(super) fn plan_transfer(&mut self, instance: &Instance, advice: Option<&Advice>) -> u64 {
+    pub(super) fn plan_transfer(&mut self, instance: &Instance, account: Option<&AccountState>) -> u64 {
         let request = self.message.request;
         let core = self.core;
         let Some((last, shared)) = request.prompt.split_last() else {
             return 0;
         };
-        if let Some(advice) = advice {
-            return self.plan_transfer_by_account(instance, last.tokens, advice);
+        if let Some(account) = account {
+            return self.plan_transfer_by_account(instance, last.tokens, account);
         }
-        let wanted = selection::wanted(
+        let criteria = selection::criteria(
             core,
             request,
             self.message.body,
@@ -44,7 +44,7 @@
         let other = core
             .upstreams
             .borrow()
-            .cache_source(instance, &wanted, core.now());
+            .cache_source(instance, &criteria, core.now());
         let Some((found, version)) =
             self.note_prompt(instance, shared, last.tokens + request.max_output_tokens)
         else {
@@ -81,7 +81,7 @@
     }
 
     /// Like [`Self::plan_transfer`], from the state in the engine's account.
-    fn plan_transfer_by_account(&mut self, instance: &Instance, own: u64, advice: &Advice) -> u64 {
+    fn plan_transfer_by_account(&mut self, instance: &Instance, own: u64, account: &AccountState) -> u64 {
         let request = self.message.request;
         let core = self.core;
         let shared = self.demand().shared_tokens();
@@ -90,33 +90,33 @@
             let store = self
                 .demand()
                 .prefix_group()
-                .and_then(|family| cache_stores.for_group(family));
+                .and_then(|group| cache_stores.for_group(group));
             store.map(|store| store.address)
         };
         let plan = transfer::plan_advised(&CachedTokens {
-            own: advice.found,
-            engine: advice.other.map_or(0, |(_, found)| found),
-            store: if advice.stored { shared } else { 0 },
+            own: account.found,
+            engine: account.other.map_or(0, |(_, found)| found),
+            store: if account.stored { shared } else { 0 },
             shared,
             has_store: store.is_some(),
             is_exact: true,
         });
         self.message.kv_source = match plan.origin {
             Origin::Nowhere => None,
-            Origin::Engine => advice.other.map(|(address, _)| address),
+            Origin::Engine => account.other.map(|(address, _)| address),
             Origin::Store => store,
         };
-        self.message.kv_target = store.filter(|_| advice.send_to_store);
+        self.message.kv_target = store.filter(|_| account.send_to_store);
         let unread = request
             .prompt_tokens()
-            .saturating_sub(advice.found + plan.tokens)
+            .saturating_sub(account.found + plan.tokens)
             .max(own);
         emit!(core.logger, info, event::REQUEST_PLACED, "request" => &request.id, "upstream" => %instance,
-            "tokens" => request.prompt_tokens(), "shared" => shared, "found" => advice.found,
-            "brought" => plan.tokens, "unread" => unread, "origin" => ?plan.origin, "stored" => advice.stored,
+            "tokens" => request.prompt_tokens(), "shared" => shared, "found" => account.found,
+            "brought" => plan.tokens, "unread" => unread, "origin" => ?plan.origin, "stored" => account.stored,
             "from" => self.message.kv_source.map(|from| from.to_string()), "to_store" => self.message.kv_target.is_some(),
-            "family" => self.demand().prefix_group(), "running" => advice.load.running,
-            "waiting" => advice.load.queued_tokens);
+            "family" => self.demand().prefix_group(), "running" => account.load.running,
+            "waiting" => account.load.queued_tokens);
         unread
     }
 
@@ -157,7 +157,7 @@
         let store = self
             .demand()
             .prefix_group()
-            .and_then(|family| cache_stores.for_group(family));
+            .and_then(|group| cache_stores.for_group(group));
         let (Some(store), Some(version)) = (store, version) else {
             return elsewhere;
         };
--- a/crates/jb-relay/src/exchange/load_guard.rs
+++ b/crates/jb-relay/src/exchange/load_guard.rs
@@ -20,7 +20,7 @@
     /// Prompt tokens that the engine prefills before this request's first token, its own included.
     queued_tokens: u64,
     /// Reservation in the engine's account.
-    held: Option<Reservation>,
+    reservation: Option<Reservation>,
 }
 
 impl<'a> LoadGuard<'a> {
@@ -29,7 +29,7 @@
         instance: &'a Instance,
         waiting: u64,
         fixed: bool,
-        held: Option<Reservation>,
+        reservation: Option<Reservation>,
     ) -> Self {
         let mut queued_tokens = waiting;
         if let Some(upstream) = core
@@ -48,7 +48,7 @@
             sent: core.now(),
             first_event_at: None,
             queued_tokens,
-            held,
+            reservation,
         }
     }
 
@@ -57,15 +57,15 @@
         self.first_event_at.get_or_insert(self.core.now());
         if self.waiting > 0 {
             let took = self.core.now().saturating_sub(self.sent);
-            let mut paces = self.core.prefill_rates.borrow_mut();
-            paces
+            let mut rates = self.core.prefill_rates.borrow_mut();
+            rates
                 .entry(service.to_owned())
                 .or_default()
                 .record(self.queued_tokens, took);
         }
         self.clear_waiting();
-        if let Some(held) = &self.held {
-            held.note_first_token();
+        if let Some(reservation) = &self.reservation {
+            reservation.note_first_token();
         }
     }
 
--- a/crates/jb-relay/src/exchange/pick.rs
+++ b/crates/jb-relay/src/exchange/pick.rs
@@ -54,7 +54,7 @@
             }
             let pause = match selection::select(self.core, request, self.message.body, &self.tried).await {
                 Some(choice) if !self.tried.is_empty() => return Some(choice),
-                Some(choice) => match choice.verdict {
+                Some(choice) => match choice.decision {
                     Decision::Send => return Some(choice),
                     Decision::Queue => CAPACITY_POLL_INTERVAL,
                     Decision::Reject(after) => {
--- a/crates/jb-relay/src/exchange/run.rs
+++ b/crates/jb-relay/src/exchange/run.rs
@@ -59,7 +59,7 @@
     pub(super) content: OnceCell<Fingerprint>,
     /// Result of the current attempt, which is reported to the engine's account.
     pub(super) ending: Option<Rc<Cell<peers::Outcome>>>,
-    pub(super) pace: StreamTiming,
+    pub(super) timing: StreamTiming,
 }
 
 /// What to do after an attempt.
@@ -96,7 +96,7 @@
             rejection: None,
             content: OnceCell::new(),
             ending: None,
-            pace: StreamTiming::default(),
+            timing: StreamTiming::default(),
         }
     }
 
@@ -113,7 +113,7 @@
             let Some(choice) = self.pick(client).await else {
                 return self.terminal_outcome(self.rejection.map_or(why, |rejection| rejection.why));
             };
-            // After a denial the upstream's rate limit is marked as used up, so it isn't selected again.
+            // After a denial the upstream is no longer available when the next one is selected.
             let Ok(permit) = peers::acquire_permit(self.core, &choice.instance).await else {
                 continue;
             };
@@ -160,17 +160,17 @@
         let request = self.message.request;
         let Choice {
             instance,
-            advice,
+            account,
             estimate,
             isolated,
             ..
         } = choice;
         let instance = &instance;
-        let waiting = self.plan_transfer(instance, advice.as_ref());
+        let waiting = self.plan_transfer(instance, account.as_ref());
         let last = !request.route.is_retryable() || self.runs + 1 >= request.route.max_attempts;
-        let held = advice.map(|advice| advice.held);
-        self.ending = held.as_ref().map(Reservation::outcome);
-        let mut counted = LoadGuard::new(core, instance, waiting, last, held);
+        let reservation = account.map(|account| account.reservation);
+        self.ending = reservation.as_ref().map(Reservation::outcome);
+        let mut counted = LoadGuard::new(core, instance, waiting, last, reservation);
         self.tried.push(instance.clone());
         // Marks the isolated trial as running until this attempt ends.
         let _tried = isolated.then(|| quarantine::begin_trial(core, self.content(), instance));
@@ -292,8 +292,8 @@
                 self.retry_granted
             };
             let on_data = || counted.note_first_token(&request.service);
-            let pace = &mut self.pace;
-            deliver::deliver_stream(core, &mut self.message, reply, client, pace, on_data, can_move).await
+            let timing = &mut self.timing;
+            deliver::deliver_stream(core, &mut self.message, reply, client, timing, on_data, can_move).await
         } else {
             deliver::deliver_buffered(core, request, reply, client).await
         };
@@ -341,7 +341,7 @@
 
     /// Returns the timing of the stream's events.
     pub fn timing(&self) -> StreamTiming {
-        self.pace
+        self.timing
     }
 
     /// Returns the time after which a rejected request may be retried.
--- a/crates/jb-relay/src/exchange/selection.rs
+++ b/crates/jb-relay/src/exchange/selection.rs
@@ -6,7 +6,7 @@
 use jb_policy::hall_reachability::Avoided;
 use jb_policy::placement::{self, CostModel, Demand};
 
-use super::account_query::{self, Advice};
+use super::account_query::{self, AccountState};
 use crate::admission::AdmittedRequest;
 use crate::core::{Core, Shared};
 use crate::peers;
@@ -20,19 +20,19 @@
     pub(super) instance: Instance,
     pub(super) estimate: Estimate,
     /// Whether a first attempt is sent now, waits, or is rejected.
-    pub(super) verdict: Decision,
+    pub(super) decision: Decision,
     /// Whether all slots of the upstream are in use.
     pub(super) full: bool,
     /// Whether the request is a suspect in an isolated trial.
     pub(super) isolated: bool,
     /// State by the engine's account; `None` if no account was queried.
-    pub(super) advice: Option<Advice>,
+    pub(super) account: Option<AccountState>,
 }
 
 impl Choice {
     /// Returns whether the upstream has a free slot for the request now.
     fn has_capacity(&self) -> bool {
-        self.verdict == Decision::Send && !self.full
+        self.decision == Decision::Send && !self.full
     }
 }
 
@@ -78,13 +78,15 @@
     request: &AdmittedRequest,
     body: &Bytes,
     tried: &[Instance],
-    among: CandidateSet,
+    candidate_set: CandidateSet,
 ) -> Option<Choice> {
     let use_accounts = !request.prompt.is_empty() && !core.book.borrow().is_small();
-    if use_accounts && let Some(choice) = account_query::choose(core, request, body, tried, among).await {
+    if use_accounts
+        && let Some(choice) = account_query::choose(core, request, body, tried, candidate_set).await
+    {
         return Some(choice);
     }
-    choose(core, request, body, tried, among)
+    choose(core, request, body, tried, candidate_set)
 }
 
 /// Returns the data halls that this box can't connect to.
@@ -108,21 +110,21 @@
     request: &AdmittedRequest,
     body: &Bytes,
     tried: &[Instance],
-    among: CandidateSet,
+    candidate_set: CandidateSet,
 ) -> Option<Choice> {
-    let wanted = wanted(core, request, body, tried, among);
-    let (ids, candidates) = core.upstreams.borrow().candidates(&wanted, core.now());
-    let tuning = tuning(core, request);
-    let at = placement::best(&candidates, &wanted.demand, &tuning)?;
+    let criteria = criteria(core, request, body, tried, candidate_set);
+    let (ids, candidates) = core.upstreams.borrow().candidates(&criteria, core.now());
+    let cost_model = cost_model(core, request);
+    let at = placement::best(&candidates, &criteria.demand, &cost_model)?;
     let estimate = Estimate {
-        ttft: placement::time_to_first_token(&candidates[at], &wanted.demand, &tuning),
+        ttft: placement::time_to_first_token(&candidates[at], &criteria.demand, &cost_model),
         has_queue: candidates[at].queued_tokens > 0,
     };
     Some(Choice {
         instance: ids[at].clone(),
         // In a large fleet, loads that don't come from an account are 0.2 to 0.6 s old, which is too old
         // to decide that a request has to wait.
-        verdict: if core.book.borrow().is_small() {
+        decision: if core.book.borrow().is_small() {
             admission_verdict(core, request, &estimate)
         } else {
             Decision::Send
@@ -130,26 +132,26 @@
         full: candidates[at].is_full(),
         isolated: false,
         estimate,
-        advice: None,
+        account: None,
     })
 }
 
 /// Returns the cost parameters, with the service's measured prefill rate and transfer speed.
-pub(super) fn tuning(core: &Core, request: &AdmittedRequest) -> CostModel {
-    let pace = core
+pub(super) fn cost_model(core: &Core, request: &AdmittedRequest) -> CostModel {
+    let prefill_rate = core
         .prefill_rates
         .borrow()
         .get(&request.service)
         .copied()
         .unwrap_or_default();
     let service = request.configuration.services.get(&request.service);
-    let moves = service.and_then(|service| service.transfer_time_per_k_tokens);
+    let transfer_time = service.and_then(|service| service.transfer_time_per_k_tokens);
     CostModel {
-        prefill_tokens_per_ms: pace.tokens_per_ms(),
-        transfer_time_per_1k: moves.map_or(core.tuning.transfer_time_per_1k, |time| {
+        prefill_tokens_per_ms: prefill_rate.tokens_per_ms(),
+        transfer_time_per_1k: transfer_time.map_or(core.cost_model.transfer_time_per_1k, |time| {
             time.as_secs_f64() * 1000.0
         }),
-        ..core.tuning
+        ..core.cost_model
     }
 }
 
@@ -185,16 +187,16 @@
 /// Returns when the first upstream accepts requests again, if all that could serve a retry of the request
 /// back off or are rate-limited.
 pub(super) fn earliest_availability(core: &Core, request: &AdmittedRequest, body: &Bytes) -> Option<Moment> {
-    let wanted = wanted(core, request, body, &[], CandidateSet::All);
-    core.upstreams.borrow().next_available_at(&wanted, core.now())
+    let criteria = criteria(core, request, body, &[], CandidateSet::All);
+    core.upstreams.borrow().next_available_at(&criteria, core.now())
 }
 
-pub(super) fn wanted<'a>(
+pub(super) fn criteria<'a>(
     core: &'a Core,
     request: &'a AdmittedRequest,
     body: &Bytes,
     tried: &'a [Instance],
-    among: CandidateSet,
+    candidate_set: CandidateSet,
 ) -> Criteria<'a> {
     let model = request.model.as_deref();
     Criteria {
@@ -207,8 +209,8 @@
         own_hall: &core.settings.hall,
         demand: demand(request, body),
         excluded: tried,
-        last_resort: among == CandidateSet::All,
-        avoided_halls: match among {
+        last_resort: candidate_set == CandidateSet::All,
+        avoided_halls: match candidate_set {
             CandidateSet::Reachable => avoided(core),
             CandidateSet::Listed | CandidateSet::All => Avoided::None,
         },
