--- a/crates/jb-relay/src/cache_scan.rs
+++ b/crates/jb-relay/src/cache_scan.rs
@@ -32,7 +32,7 @@
     peers::refresh_directory(&core);
     // If no other box is listed, this is the first one, and the caches are still empty.
     let (small, listed) = {
-        let book = core.book.borrow();
+        let book = core.directory.borrow();
         (book.is_small(), book.others(&core.settings.id).next().is_some())
     };
     if small && listed {
--- a/crates/jb-relay/src/core.rs
+++ b/crates/jb-relay/src/core.rs
@@ -95,15 +95,15 @@
     /// Whether addresses of boxes have changed since the list was last updated.
     pub addresses_changed: Cell<bool>,
     /// Boxes that may be alive.
-    pub book: RefCell<Directory>,
+    pub directory: RefCell<Directory>,
     /// Round-trip times to other boxes.
     pub round_trips: RoundTrips,
     /// Reservations that this box requests from the boxes that track the engines' loads.
-    pub accounts: Reservations,
+    pub reservations: Reservations,
     /// Which data halls this box can connect to.
     pub hall_reachability: RefCell<HallReachability>,
     /// Which boxes can reach each other.
-    pub reachability: RefCell<Reachability>,
+    pub box_reachability: RefCell<Reachability>,
     /// Quotas of customers.
     pub quotas: Quotas,
     /// Rate limits of upstreams.
@@ -113,15 +113,15 @@
     /// Requests that crash engines.
     pub quarantine: Quarantine,
     /// Status of the other boxes.
-    pub loads: RefCell<Loads>,
+    pub peer_loads: RefCell<Loads>,
     /// Weight loads that wait to be published in one message.
-    pub gathered: RefCell<PendingWeights>,
+    pub pending_weights: RefCell<PendingWeights>,
     /// State changes to broadcast without delay.
-    pub notices: RefCell<Outbox>,
+    pub outbox: RefCell<Outbox>,
     /// Latest changes of the store, from which other boxes are served.
     pub change_log: RefCell<ChangeLog>,
     /// Updates that this box has requested from another box.
-    pub relayed: PendingPull,
+    pub pending_pull: PendingPull,
     /// Transfers to other boxes.
     pub transfers: Transfers,
     /// Retry budget of each service.
@@ -175,20 +175,20 @@
             peer_port: OnceCell::new(),
             address_written: Cell::default(),
             addresses_changed: Cell::default(),
-            book: RefCell::default(),
+            directory: RefCell::default(),
             round_trips: RoundTrips::default(),
-            accounts: Reservations::default(),
+            reservations: Reservations::default(),
             hall_reachability: RefCell::default(),
-            reachability: RefCell::default(),
+            box_reachability: RefCell::default(),
             quotas: Quotas::default(),
             rate_limits: RateLimits::default(),
             unknown_signals: UnknownSignals::default(),
             quarantine: Quarantine::default(),
-            loads: RefCell::default(),
-            gathered: RefCell::default(),
-            notices: RefCell::default(),
+            peer_loads: RefCell::default(),
+            pending_weights: RefCell::default(),
+            outbox: RefCell::default(),
             change_log: RefCell::default(),
-            relayed: PendingPull::default(),
+            pending_pull: PendingPull::default(),
             transfers: Transfers::default(),
             retry_budgets: RefCell::default(),
             prefill_rates: RefCell::default(),
@@ -324,7 +324,7 @@
             extra: bounds.retry_burst,
             window: bounds.retry_window,
         };
-        let boxes = self.book.borrow().boxes();
+        let boxes = self.directory.borrow().boxes();
         let mut budgets = self.retry_budgets.borrow_mut();
         let spent = budgets
             .entry(service.to_owned())
--- a/crates/jb-relay/src/exchange/kv_transfer.rs
+++ b/crates/jb-relay/src/exchange/kv_transfer.rs
@@ -164,7 +164,7 @@
         CachedTokens {
             store: store.cached_tokens(shared, version),
             has_store: true,
-            is_exact: self.core.book.borrow().is_small(),
+            is_exact: self.core.directory.borrow().is_small(),
             ..elsewhere
         }
     }
--- a/crates/jb-relay/src/exchange/selection.rs
+++ b/crates/jb-relay/src/exchange/selection.rs
@@ -80,7 +80,7 @@
     tried: &[Instance],
     candidate_set: CandidateSet,
 ) -> Option<Choice> {
-    let use_accounts = !request.prompt.is_empty() && !core.book.borrow().is_small();
+    let use_accounts = !request.prompt.is_empty() && !core.directory.borrow().is_small();
     if use_accounts
         && let Some(choice) = account_query::choose(core, request, body, tried, candidate_set).await
     {
@@ -124,7 +124,7 @@
         instance: ids[at].clone(),
         // In a large fleet, loads that don't come from an account are 0.2 to 0.6 s old, which is too old
         // to decide that a request has to wait.
-        decision: if core.book.borrow().is_small() {
+        decision: if core.directory.borrow().is_small() {
             admission_verdict(core, request, &estimate)
         } else {
             Decision::Send
--- a/crates/jb-relay/src/follow/missing.rs
+++ b/crates/jb-relay/src/follow/missing.rs
@@ -50,14 +50,14 @@
 }
 
 fn was_store_down(core: &Core, partition: Span) -> bool {
-    if core.book.borrow().boxes() == 1 {
+    if core.directory.borrow().boxes() == 1 {
         // Alone, so no other box could have observed the store.
         return true;
     }
     let Some(seen) = core.store_uptime.get() else {
         return false;
     };
-    let spans = core.loads.borrow().store_spans(core.now());
+    let spans = core.peer_loads.borrow().store_spans(core.now());
     outage::classify(partition, seen, &spans, core.tolerated_outage()) == Availability::Unavailable
 }
 
@@ -75,7 +75,7 @@
     if summary.has_events() {
         emit!(core.logger, info, event::UPSTREAM_EXPIRED, "upstream" => id,
             "until_ms" => until.saturating_sub(core.now()).as_millis() as u64,
-            "spans" => ?core.loads.borrow().store_spans(core.now()));
+            "spans" => ?core.peer_loads.borrow().store_spans(core.now()));
     }
 }
 
--- a/crates/jb-relay/src/follow/run.rs
+++ b/crates/jb-relay/src/follow/run.rs
@@ -138,7 +138,7 @@
 /// Returns the level of this box in the dissemination tree of its data hall.
 fn level(core: &Core) -> Level {
     let (own, hall) = (&core.settings.id, &core.settings.hall);
-    core.book.borrow().level(own, hall)
+    core.directory.borrow().level(own, hall)
 }
 
 /// Fetches from another box the changes that the store's history no longer contains, if the store has many pages.
--- a/crates/jb-relay/src/follow/start_up.rs
+++ b/crates/jb-relay/src/follow/start_up.rs
@@ -87,7 +87,7 @@
 /// tree that has it. `None` if this box is the root of its data hall, or if no box has sent it in time.
 async fn fetch(core: &Core, after: Option<Revision>, until: Moment) -> Option<Update> {
     let (own, hall) = (&core.settings.id, &core.settings.hall);
-    let sources = core.book.borrow().ancestors(own, hall);
+    let sources = core.directory.borrow().ancestors(own, hall);
     while core.now() < until {
         match from_any(core, &sources, after).await {
             Attempt::Done(update) => return Some(update),
--- a/crates/jb-relay/src/leader/election.rs
+++ b/crates/jb-relay/src/leader/election.rs
@@ -17,7 +17,7 @@
         let holder = core.box_items.borrow().get(HOLDER_KEY).cloned();
         let held = holder.as_ref().is_some_and(|item| item.value.is_some());
         // If this box's own address is not listed yet, other boxes' addresses are missing as well.
-        let listed = core.book.borrow().address(&core.settings.id).is_some();
+        let listed = core.directory.borrow().address(&core.settings.id).is_some();
         if held || !listed || core.state_age().is_none_or(|age| age > 2 * follow::POLL_INTERVAL) {
             self.vacant_since.set(None);
             return;
@@ -26,7 +26,7 @@
         let since = self.vacant_since.get().unwrap_or(now);
         self.vacant_since.set(Some(since));
         let before = core
-            .book
+            .directory
             .borrow()
             .preferred_count(&core.settings.id, HOLDER_KEY, now);
         if now < since + election::delay(before) {
--- a/crates/jb-relay/src/peers/broadcast.rs
+++ b/crates/jb-relay/src/peers/broadcast.rs
@@ -33,7 +33,7 @@
         forward_to_halls(core, socket, None, &bytes).await;
         return;
     }
-    let address = relay_node.and_then(|id| core.book.borrow().address(&id));
+    let address = relay_node.and_then(|id| core.directory.borrow().address(&id));
     let is_sent = match address {
         Some(address) => send_forward(core, socket, address, Recipients::Fleet, &bytes).await,
         None => false,
@@ -44,16 +44,16 @@
 }
 
 fn others(core: &Core) -> Vec<SocketAddr> {
-    let directory = core.book.borrow();
+    let directory = core.directory.borrow();
     let others = directory.others(&core.settings.id);
     others.map(|(_, peer)| peer.address).collect()
 }
 
 /// Returns the relay node of the own data hall if it has been heard from recently; `None` in a small fleet.
 fn relay_node(core: &Core) -> Option<id::Box> {
-    let directory = core.book.borrow();
+    let directory = core.directory.borrow();
     let now = core.now();
-    let is_alive = now < core.loads.borrow().relay_node_seen() + MAX_RELAY_NODE_AGE;
+    let is_alive = now < core.peer_loads.borrow().relay_node_seen() + MAX_RELAY_NODE_AGE;
     let relay_node = directory.relay_node(&core.settings.hall, now);
     relay_node.filter(|_| is_alive && !directory.is_small()).cloned()
 }
@@ -81,7 +81,7 @@
 /// Sends a message to the boxes of all data halls except its sender.
 async fn forward_to_halls(core: &Core, socket: &UdpSocket, sender: Option<SocketAddr>, bytes: &[u8]) {
     let halls = core
-        .book
+        .directory
         .borrow()
         .acting_relay_nodes(&core.settings.hall, core.now());
     for (hall, relay_node) in halls {
@@ -90,7 +90,7 @@
             None => false,
         };
         if !is_sent {
-            let addresses = core.book.borrow().addresses_in(&hall);
+            let addresses = core.directory.borrow().addresses_in(&hall);
             send_to_all(core, socket, &addresses, bytes).await;
         }
     }
@@ -114,8 +114,8 @@
 /// Returns the addresses of the forwarders of the own data hall, and the short names of the other boxes.
 fn recipients(core: &Core, sender: Option<SocketAddr>) -> (Vec<SocketAddr>, Vec<u32>) {
     let since = core.now().saturating_sub(MAX_FORWARDER_AGE);
-    let alive: HashSet<id::Box> = core.loads.borrow().members(since).into_iter().collect();
-    let directory = core.book.borrow();
+    let alive: HashSet<id::Box> = core.peer_loads.borrow().members(since).into_iter().collect();
+    let directory = core.directory.borrow();
     let others = directory.others(&core.settings.id);
     let others = others.filter(|(_, peer)| peer.hall == core.settings.hall && Some(peer.address) != sender);
     let (mut forwarders, mut rest): (Vec<_>, Vec<_>) = others.partition(|(id, _)| alive.contains(*id));
@@ -131,7 +131,7 @@
 }
 
 async fn send_to_each(core: &Core, socket: &UdpSocket, names: &[u32], bytes: &[u8]) {
-    let addresses = core.book.borrow().addresses_of(names);
+    let addresses = core.directory.borrow().addresses_of(names);
     send_to_all(core, socket, &addresses, bytes).await;
 }
 
--- a/crates/jb-relay/src/peers/outbox.rs
+++ b/crates/jb-relay/src/peers/outbox.rs
@@ -49,10 +49,10 @@
 
 /// Announces a prompt that this box has sent to an upstream, if it is long and the fleet small.
 pub fn announce_prompt(core: &Core, upstream: &Upstream, tokens: u64) {
-    if tokens < MIN_LONG_PROMPT_TOKENS || !core.book.borrow().is_small() {
+    if tokens < MIN_LONG_PROMPT_TOKENS || !core.directory.borrow().is_small() {
         return;
     }
-    let mut outbox = core.notices.borrow_mut();
+    let mut outbox = core.outbox.borrow_mut();
     outbox.prompts.push((
         rendezvous::short_hash(upstream.name_hash),
         saturating_cast(tokens),
@@ -62,13 +62,13 @@
 
 /// Broadcasts long prompts as they are announced, for `time`.
 pub(super) async fn broadcast_prompts(core: &Core, socket: &UdpSocket, time: Duration) {
-    let wake = Rc::clone(&core.notices.borrow().wake);
+    let wake = Rc::clone(&core.outbox.borrow().wake);
     let due = core.now() + time;
     while timeout(due.saturating_sub(core.now()), wake.notified())
         .await
         .is_ok()
     {
-        let prompts = std::mem::take(&mut core.notices.borrow_mut().prompts);
+        let prompts = std::mem::take(&mut core.outbox.borrow_mut().prompts);
         if prompts.is_empty() {
             continue;
         }
@@ -87,7 +87,7 @@
 /// Announces that another incarnation answers at an upstream's address. Each other box would otherwise find out by a
 /// rejected request, and these spend the retry budget.
 pub fn announce_replaced(core: &Core, upstream: &Upstream) {
-    core.notices
+    core.outbox
         .borrow_mut()
         .replaced
         .push(rendezvous::short_hash(upstream.name_hash));
@@ -96,7 +96,7 @@
 /// Announces that an upstream has signalled that it is draining. While the store is down each other box would otherwise
 /// have to receive such a response itself. It is broadcast once.
 pub fn announce_draining(core: &Core, upstream: &Upstream) {
-    core.notices
+    core.outbox
         .borrow_mut()
         .draining
         .push(rendezvous::short_hash(upstream.name_hash));
@@ -104,7 +104,7 @@
 
 /// Announces that the rate limit of an upstream has begun or ended.
 pub fn announce_rate_limit(core: &Core, upstream: &Upstream) {
-    core.notices
+    core.outbox
         .borrow_mut()
         .limits
         .push(rendezvous::short_hash(upstream.name_hash));
@@ -113,7 +113,7 @@
 /// Broadcasts the announced changes of upstreams.
 pub(super) async fn broadcast_signals(core: &Core, socket: &UdpSocket) {
     let (replaced, draining, limits) = {
-        let mut outbox = core.notices.borrow_mut();
+        let mut outbox = core.outbox.borrow_mut();
         (
             std::mem::take(&mut outbox.replaced),
             std::mem::take(&mut outbox.draining),
--- a/crates/jb-relay/src/peers/owner.rs
+++ b/crates/jb-relay/src/peers/owner.rs
@@ -35,7 +35,7 @@
     /// Returns the share of the fleet for which this box decides, 0 to 1.
     pub(super) fn share(self, core: &Core) -> f64 {
         let fleet = reachability::fleet_size(core);
-        let listed = f64::from(saturating_cast(core.book.borrow().boxes()));
+        let listed = f64::from(saturating_cast(core.directory.borrow().boxes()));
         let boxes = match self {
             Self::Fleet => fleet.all,
             Self::Hall => fleet.hall,
@@ -59,7 +59,7 @@
     }
     let hall = &core.settings.hall;
     let fallback = core
-        .book
+        .directory
         .borrow()
         .fallback_owner(key, hall, &first.0, core.now())?;
     let reply = send(&fallback, Scope::Hall).await?;
--- a/crates/jb-relay/src/peers/pull.rs
+++ b/crates/jb-relay/src/peers/pull.rs
@@ -173,7 +173,7 @@
     after: Revision,
     relay_node: &str,
 ) -> Result<Update, Error> {
-    let address = core.book.borrow().address(relay_node).ok_or(Error::Silent)?;
+    let address = core.directory.borrow().address(relay_node).ok_or(Error::Silent)?;
     let mut all: Vec<Change> = Vec::new();
     // The chunks of the next value that have arrived.
     let mut value = Vec::new();
@@ -186,7 +186,7 @@
             offset: saturating_cast(value.len()),
         };
         let Some(reply) = request(core, socket, address, pull, saturating_cast(all.len())).await else {
-            core.book.borrow_mut().mark_silent(relay_node, core.now());
+            core.directory.borrow_mut().mark_silent(relay_node, core.now());
             return Err(Error::Silent);
         };
         if let Some(received) = era_of(&reply.body)
@@ -252,7 +252,7 @@
 
 fn own_relay_node(core: &Core) -> Option<id::Box> {
     let relay_node = core
-        .book
+        .directory
         .borrow()
         .relay_node(&core.settings.hall, core.now())
         .cloned();
@@ -263,13 +263,13 @@
 /// node as well, while the others still have answers. A box far from the root of the tree asks only some of them.
 fn all_relay_nodes(core: &Core) -> Vec<id::Box> {
     let (own, hall) = (&core.settings.id, &core.settings.hall);
-    let mut relay_nodes = core.book.borrow().other_relay_nodes(hall, core.now());
+    let mut relay_nodes = core.directory.borrow().other_relay_nodes(hall, core.now());
     relay_nodes.extend(own_relay_node(core));
     if !relay_nodes.is_empty() {
-        let first = core.relayed.nonce.get() as usize % relay_nodes.len();
+        let first = core.pending_pull.nonce.get() as usize % relay_nodes.len();
         relay_nodes.rotate_left(first);
     }
-    relay_nodes.truncate(core.book.borrow().level(own, hall).max_asked());
+    relay_nodes.truncate(core.directory.borrow().level(own, hall).max_asked());
     relay_nodes
 }
 
@@ -282,9 +282,9 @@
     skip: u32,
 ) -> Option<PullReply> {
     let (sender, receiver) = oneshot::channel();
-    let nonce = core.relayed.nonce.get() + 1;
-    core.relayed.nonce.set(nonce);
-    *core.relayed.waiting.borrow_mut() = Some((nonce, sender));
+    let nonce = core.pending_pull.nonce.get() + 1;
+    core.pending_pull.nonce.set(nonce);
+    *core.pending_pull.waiting.borrow_mut() = Some((nonce, sender));
     let pull = Pull { nonce, ..pull };
     let message = match skip {
         0 => Message::Pull(pull),
--- a/crates/jb-relay/src/peers/quarantine_record.rs
+++ b/crates/jb-relay/src/peers/quarantine_record.rs
@@ -55,7 +55,7 @@
 /// Returns whether this box owns a record.
 fn owns(core: &Core, fingerprint: Fingerprint) -> bool {
     let key = rendezvous::name_hash(&key(fingerprint));
-    let owner = core.book.borrow().fleet_owner(key, core.now());
+    let owner = core.directory.borrow().fleet_owner(key, core.now());
     owner.is_none_or(|(id, _)| id == core.settings.id)
 }
 
--- a/crates/jb-relay/src/peers/query.rs
+++ b/crates/jb-relay/src/peers/query.rs
@@ -64,14 +64,14 @@
         message: &Message,
         time: Duration,
     ) -> Option<R> {
-        let hall = core.book.borrow().hall(id).cloned().unwrap_or_default();
+        let hall = core.directory.borrow().hall(id).cloned().unwrap_or_default();
         let (sent, time) = (core.now(), core.round_trips.timeout(&hall, time));
         let (sender, receiver) = oneshot::channel();
         self.waiting.borrow_mut().insert(key, sender);
         self.send(core, address, message);
         let reply = timeout(time, receiver).await;
         self.waiting.borrow_mut().remove(&key);
-        let mut directory = core.book.borrow_mut();
+        let mut directory = core.directory.borrow_mut();
         if let Ok(Ok(reply)) = reply {
             directory.mark_alive(id);
             core.round_trips.record(&hall, core.now().saturating_sub(sent));
--- a/crates/jb-relay/src/peers/quota.rs
+++ b/crates/jb-relay/src/peers/quota.rs
@@ -140,7 +140,7 @@
 /// Returns the reply to a charge, with the box that decided it: the owner, or this box if no owner replies.
 async fn decide_or_query(core: &Core, charge: &mut Charge) -> (id::Box, ChargeReply) {
     let key = u64::from(charge.customer);
-    let first = core.book.borrow().fleet_owner(key, core.now());
+    let first = core.directory.borrow().fleet_owner(key, core.now());
     let decided = owner::query(core, key, first, async |owner, scope| {
         if scope == Scope::Hall {
             charge.is_fallback = true;
--- a/crates/jb-relay/src/peers/rate_limit.rs
+++ b/crates/jb-relay/src/peers/rate_limit.rs
@@ -94,7 +94,7 @@
     let observation = upstream.rate_limit.observation()?;
     observation.rate?;
     let owner = core
-        .book
+        .directory
         .borrow()
         .owner(upstream.name_hash, &upstream.entry.hall, core.now());
     Some((upstream.name_hash, owner, observation))
--- a/crates/jb-relay/src/peers/reachability.rs
+++ b/crates/jb-relay/src/peers/reachability.rs
@@ -84,21 +84,27 @@
 /// Sends the count of this relay node to the boxes of its hall and to the other relay nodes.
 pub(super) async fn broadcast(core: &Core, socket: &UdpSocket) {
     let now = core.now();
-    if !core.reachability.borrow_mut().is_due(now) {
+    if !core.box_reachability.borrow_mut().is_due(now) {
         return;
     }
-    let members = core.loads.borrow().members(now.saturating_sub(MAX_MEMBER_AGE));
+    let members = core
+        .peer_loads
+        .borrow()
+        .members(now.saturating_sub(MAX_MEMBER_AGE));
     let hall = saturating_cast(members.len() + 1);
-    let fleet = core.reachability.borrow().sum(hall, now);
-    core.reachability.borrow_mut().record(fleet, now);
+    let fleet = core.box_reachability.borrow().sum(hall, now);
+    core.box_reachability.borrow_mut().record(fleet, now);
     let count = Message::ReachableCount(ReachableCount {
         from: core.settings.id.clone(),
         hall: fleet.hall,
         all: fleet.all,
     });
-    let relay_nodes = core.book.borrow().other_relay_nodes(&core.settings.hall, now);
+    let relay_nodes = core
+        .directory
+        .borrow()
+        .other_relay_nodes(&core.settings.hall, now);
     for id in members.iter().chain(&relay_nodes) {
-        let address = core.book.borrow().address(id);
+        let address = core.directory.borrow().address(id);
         if let Some(address) = address {
             send(core, socket, address, &count).await;
         }
@@ -111,11 +117,11 @@
         return;
     }
     let now = core.now();
-    let directory = core.book.borrow();
+    let directory = core.directory.borrow();
     let Some(hall) = directory.hall(&count.from) else {
         return;
     };
-    let mut reachability = core.reachability.borrow_mut();
+    let mut reachability = core.box_reachability.borrow_mut();
     if *hall == core.settings.hall {
         let fleet = FleetSize {
             hall: count.hall,
@@ -130,19 +136,22 @@
 /// Returns the number of listed boxes that reach each other.
 pub(super) fn fleet_size(core: &Core) -> FleetSize {
     let now = core.now();
-    let directory = core.book.borrow();
+    let directory = core.directory.borrow();
     let own_hall = &core.settings.hall;
     let listed = FleetSize {
         hall: saturating_cast(directory.boxes_in(own_hall)),
         all: saturating_cast(directory.boxes()),
     };
     if !directory.is_small() {
-        return core.reachability.borrow().fleet_size(listed, now);
+        return core.box_reachability.borrow().fleet_size(listed, now);
     }
     if now < STARTUP_PERIOD {
         return listed;
     }
-    let senders = core.loads.borrow().senders(now.saturating_sub(MAX_COUNT_AGE));
+    let senders = core
+        .peer_loads
+        .borrow()
+        .senders(now.saturating_sub(MAX_COUNT_AGE));
     let near = senders.iter().filter(|id| directory.hall(id) == Some(own_hall));
     FleetSize {
         hall: saturating_cast(near.count() + 1),
@@ -153,6 +162,6 @@
 /// Returns whether there are other data halls, and the boxes of the own one reach no box of them.
 pub fn is_hall_isolated(core: &Core) -> bool {
     let fleet = fleet_size(core);
-    let directory = core.book.borrow();
+    let directory = core.directory.borrow();
     fleet.all <= fleet.hall && directory.boxes() > directory.boxes_in(&core.settings.hall)
 }
--- a/crates/jb-relay/src/peers/register.rs
+++ b/crates/jb-relay/src/peers/register.rs
@@ -67,7 +67,7 @@
 /// Updates the directory from the store, if addresses have changed.
 pub fn refresh_directory(core: &Core) {
     if core.addresses_changed.take() {
-        core.book.borrow_mut().replace(registered_boxes(core));
+        core.directory.borrow_mut().replace(registered_boxes(core));
     }
 }
 
--- a/crates/jb-relay/src/peers/releases.rs
+++ b/crates/jb-relay/src/peers/releases.rs
@@ -61,7 +61,7 @@
 
 /// Returns some of the other boxes, different ones for each query.
 fn others(core: &Core, queries: u32) -> Vec<SocketAddr> {
-    let directory = core.book.borrow();
+    let directory = core.directory.borrow();
     let own = &core.settings.id;
     let all: Vec<SocketAddr> = directory.others(own).map(|(_, peer)| peer.address).collect();
     let before = directory
--- a/crates/jb-relay/src/peers/reservation.rs
+++ b/crates/jb-relay/src/peers/reservation.rs
@@ -112,7 +112,7 @@
 
 /// Returns the id of a new reservation of this box.
 pub fn draw_reservation_id(core: &Core) -> ReservationId {
-    core.accounts.draw_id(&core.settings.id)
+    core.reservations.draw_id(&core.settings.id)
 }
 
 /// Returns a guard that releases a reservation at an engine when it is dropped.
@@ -150,7 +150,7 @@
     let Some((owner_id, address)) = owner else {
         return Some(state(decide(core, &query)?));
     };
-    let queries = &core.accounts.queries;
+    let queries = &core.reservations.queries;
     let message = Message::Reserve(query);
     let reply = queries.query(core, (&owner_id, address), (id, name), &message, REPLY_TIMEOUT);
     let Some(reply) = reply.await else {
@@ -194,7 +194,7 @@
     let upstreams = core.upstreams.borrow();
     let upstream = upstreams.instance(engine)?;
     let name = rendezvous::short_hash(upstream.name_hash);
-    let directory = core.book.borrow();
+    let directory = core.directory.borrow();
     let owner = directory.owner(upstream.name_hash, &upstream.entry.hall, core.now());
     let owner = owner.filter(|(id, _)| *id != core.settings.id);
     Some((name, owner))
@@ -210,10 +210,11 @@
         outcome,
     };
     match owner {
-        Some((_, address)) => core
-            .accounts
-            .queries
-            .send(core, address, &Message::ReservationUpdate(update)),
+        Some((_, address)) => {
+            core.reservations
+                .queries
+                .send(core, address, &Message::ReservationUpdate(update))
+        }
         // This box has already applied the outcome of its own request to the engine's health.
         None => {
             apply_update(core, &update);
@@ -240,7 +241,7 @@
 
 /// Returns whether a datagram comes from a listed box; otherwise counts and logs it.
 pub(super) fn is_from_listed_box(core: &Core, from: SocketAddr) -> bool {
-    let is_listed = core.book.borrow().contains_address(from);
+    let is_listed = core.directory.borrow().contains_address(from);
     if !is_listed {
         core.metrics.rejected_datagrams.inc();
         emit!(core.logger, debug, event::PEER_REFUSED, "peer" => %from,
@@ -252,7 +253,7 @@
 /// Passes a reply to the query of this box that it belongs to.
 pub(super) fn deliver(core: &Core, reply: ReserveReply) {
     let key = (reply.id, reply.engine);
-    core.accounts.queries.deliver(key, reply);
+    core.reservations.queries.deliver(key, reply);
 }
 
 fn decide(core: &Core, query: &Reserve) -> Option<ReserveReply> {
--- a/crates/jb-relay/src/peers/socket.rs
+++ b/crates/jb-relay/src/peers/socket.rs
@@ -118,7 +118,7 @@
         Message::Status(status) => status::receive(core, socket, from, status).await,
         Message::Pull(pull) => pull::reply(core, socket, from, pull, 0).await,
         Message::PullMore(more) => pull::reply(core, socket, from, more.pull, more.skip).await,
-        Message::PullReply(reply) => core.relayed.deliver(reply),
+        Message::PullReply(reply) => core.pending_pull.deliver(reply),
         Message::LongPrompts(prompts) => outbox::receive_prompts(core, &prompts),
         Message::Replaced(replaced) => outbox::receive_replaced(core, &replaced),
         Message::Reserve(query) => reservation::receive_reserve(core, socket, from, &query),
--- a/crates/jb-relay/src/peers/status.rs
+++ b/crates/jb-relay/src/peers/status.rs
@@ -54,8 +54,8 @@
 
 /// Records a prompt for the next status. In a large fleet the owners of engines track prompts instead.
 pub fn record_cache_use(core: &Core, prompt: SentPrompt<'_>) {
-    let mut loads = core.loads.borrow_mut();
-    if !core.book.borrow().is_small() || loads.queued_uses.len() >= MAX_QUEUED_USES {
+    let mut loads = core.peer_loads.borrow_mut();
+    if !core.directory.borrow().is_small() || loads.queued_uses.len() >= MAX_QUEUED_USES {
         return;
     }
     let shared = prompt
@@ -76,7 +76,7 @@
     let mut empty_intervals = 0;
     loop {
         outbox::broadcast_signals(&core, &socket).await;
-        if core.book.borrow().is_small() {
+        if core.directory.borrow().is_small() {
             outbox::broadcast_prompts(&core, &socket, STATUS_INTERVAL).await;
             let is_empty = broadcast_status(&core, &socket, empty_intervals).await;
             empty_intervals = if is_empty { empty_intervals + 1 } else { 0 };
@@ -90,8 +90,8 @@
 /// Sends the status to all other boxes; returns whether it is empty. The `empty_intervals` previous ones were empty
 /// too.
 async fn broadcast_status(core: &Core, socket: &UdpSocket, empty_intervals: u32) -> bool {
-    let uses = std::mem::take(&mut core.loads.borrow_mut().queued_uses);
-    core.notices.borrow_mut().clear_prompts();
+    let uses = std::mem::take(&mut core.peer_loads.borrow_mut().queued_uses);
+    core.outbox.borrow_mut().clear_prompts();
     let status = Status {
         loads: own_loads(core),
         uses,
@@ -109,18 +109,22 @@
 /// Sends the status to the relay node of the hall, or, if this box is the relay node, the hall's sum to the other ones.
 async fn send_to_relay_node(core: &Core, socket: &UdpSocket) {
     let now = core.now();
-    let relay_node = core.book.borrow().relay_node(&core.settings.hall, now).cloned();
+    let relay_node = core
+        .directory
+        .borrow()
+        .relay_node(&core.settings.hall, now)
+        .cloned();
     let Some(relay_node) = relay_node else { return };
     update_role(core, relay_node == core.settings.id);
     if relay_node == core.settings.id {
-        core.loads.borrow_mut().relay_node_seen = now;
+        core.peer_loads.borrow_mut().relay_node_seen = now;
         send_to_other_relay_nodes(core, socket).await;
         reachability::broadcast(core, socket).await;
         return;
     }
-    if now > core.loads.borrow().relay_node_seen + RELAY_NODE_TIMEOUT {
-        core.book.borrow_mut().mark_silent(&relay_node, now);
-        core.loads.borrow_mut().relay_node_seen = now;
+    if now > core.peer_loads.borrow().relay_node_seen + RELAY_NODE_TIMEOUT {
+        core.directory.borrow_mut().mark_silent(&relay_node, now);
+        core.peer_loads.borrow_mut().relay_node_seen = now;
         return;
     }
     let status = Status {
@@ -141,10 +145,10 @@
 
 async fn send_to_other_relay_nodes(core: &Core, socket: &UdpSocket) {
     let relay_nodes = core
-        .book
+        .directory
         .borrow()
         .other_relay_nodes(&core.settings.hall, core.now());
-    let loads = core.loads.borrow().sum_of_members(own_loads(core));
+    let loads = core.peer_loads.borrow().sum_of_members(own_loads(core));
     for relay_node in relay_nodes {
         let status = Status {
             loads: loads.clone(),
@@ -155,7 +159,7 @@
 }
 
 async fn send_to(core: &Core, socket: &UdpSocket, id: &str, status: Status) {
-    let address = core.book.borrow().address(id);
+    let address = core.directory.borrow().address(id);
     let Some(address) = address else { return };
     for message in messages(status) {
         send(core, socket, address, &message).await;
@@ -176,23 +180,24 @@
 /// Receives the status of another box.
 pub(super) async fn receive(core: &Core, socket: &UdpSocket, from: SocketAddr, status: Status) {
     let now = core.now();
-    core.book.borrow_mut().mark_alive(&status.from);
+    core.directory.borrow_mut().mark_alive(&status.from);
     for weights in &status.weights {
         weights::apply(core, weights);
     }
     for cache_use in &status.uses {
         apply_cache_use(core, cache_use);
     }
-    if !core.book.borrow().is_small() {
-        let is_own_relay_node = core.book.borrow().relay_node(&core.settings.hall, now) == Some(&status.from);
+    if !core.directory.borrow().is_small() {
+        let is_own_relay_node =
+            core.directory.borrow().relay_node(&core.settings.hall, now) == Some(&status.from);
         if is_own_relay_node {
-            core.loads.borrow_mut().relay_node_seen = now;
+            core.peer_loads.borrow_mut().relay_node_seen = now;
         }
         // Only relay nodes send their loads to boxes of other halls.
         let is_from_relay_node = status.has_loads() && !status.wants_sum;
-        let is_from_other_hall = core.book.borrow().hall(&status.from) != Some(&core.settings.hall);
+        let is_from_other_hall = core.directory.borrow().hall(&status.from) != Some(&core.settings.hall);
         if is_from_relay_node && is_from_other_hall {
-            core.book.borrow_mut().note_relay_node(&status.from, now);
+            core.directory.borrow_mut().note_relay_node(&status.from, now);
         }
     }
     if status.has_loads() {
@@ -207,11 +212,14 @@
             loads,
             store_span,
         };
-        let touched = core.loads.borrow_mut().put(&status.from, received);
+        let touched = core.peer_loads.borrow_mut().put(&status.from, received);
         update_upstreams(core, &touched);
     }
     if status.wants_sum {
-        let loads = core.loads.borrow().sum_without(&status.from, own_loads(core));
+        let loads = core
+            .peer_loads
+            .borrow()
+            .sum_without(&status.from, own_loads(core));
         for message in messages(Status {
             loads,
             ..Status::new(core)
@@ -242,14 +250,14 @@
 
 /// Adds a prompt that another box has sent to its load until its next status.
 pub(super) fn add_prompt(core: &Core, from: &str, upstream: u32, tokens: u64) {
-    if core.loads.borrow_mut().add(from, upstream, tokens) {
+    if core.peer_loads.borrow_mut().add(from, upstream, tokens) {
         update_upstreams(core, &[upstream]);
     }
 }
 
 /// Sets the sums of the other boxes' loads on these upstreams.
 fn update_upstreams(core: &Core, names: &[u32]) {
-    let loads = core.loads.borrow();
+    let loads = core.peer_loads.borrow();
     let mut upstreams = core.upstreams.borrow_mut();
     for &name in names {
         let others = loads.others(name);
--- a/crates/jb-relay/src/peers/suspicion.rs
+++ b/crates/jb-relay/src/peers/suspicion.rs
@@ -81,7 +81,7 @@
 }
 
 fn next_boxes(core: &Core) -> Vec<SocketAddr> {
-    let directory = core.book.borrow();
+    let directory = core.directory.borrow();
     let own = core.settings.id.as_str();
     let (before, after): (Vec<_>, Vec<_>) = directory.others(own).partition(|(id, _)| id.as_str() < own);
     let next = after.into_iter().chain(before).take(BOXES_PER_RESEND);
--- a/crates/jb-relay/src/peers/transfer.rs
+++ b/crates/jb-relay/src/peers/transfer.rs
@@ -201,10 +201,10 @@
     let query: Query = postcard::from_bytes(&query).map_err(std::io::Error::other)?;
     // A box that starts connects right after it has registered, so its address may not have arrived here yet.
     let deadline = core.now() + HOLD_TIME;
-    while core.now() < deadline && !(can_reply(core, &query) && core.book.borrow().contains_host(host)) {
+    while core.now() < deadline && !(can_reply(core, &query) && core.directory.borrow().contains_host(host)) {
         sleep(CHECK_INTERVAL).await;
     }
-    if !core.book.borrow().contains_host(host) {
+    if !core.directory.borrow().contains_host(host) {
         core.metrics.rejected_datagrams.inc();
         return Err(std::io::ErrorKind::PermissionDenied.into());
     }
--- a/crates/jb-relay/src/peers/weights.rs
+++ b/crates/jb-relay/src/peers/weights.rs
@@ -37,7 +37,7 @@
         version: version.unwrap_or(0),
     };
     apply(core, &loaded);
-    let mut pending = core.gathered.borrow_mut();
+    let mut pending = core.pending_weights.borrow_mut();
     pending.push(loaded);
     if pending.len() == 1 {
         spawn_local(flush(Rc::clone(core), Rc::clone(socket)));
@@ -46,7 +46,7 @@
 
 async fn flush(core: Shared, socket: Rc<UdpSocket>) {
     sleep(BATCH_DELAY).await;
-    let pending = core.gathered.take();
+    let pending = core.pending_weights.take();
     for weights in pending.chunks(MAX_ENGINES_PER_DATAGRAM) {
         let message = Message::Status(Status {
             weights: weights.to_vec(),
--- a/crates/jb-relay/src/start.rs
+++ b/crates/jb-relay/src/start.rs
@@ -115,7 +115,7 @@
     }
     emit!(core.logger, info, event::BOX_STARTED, "callers" => %callers.local_addr()?,
         "peers" => port, "store" => %core.settings.store_address);
-    core.accounts.set_socket(Rc::clone(&socket));
+    core.reservations.set_socket(Rc::clone(&socket));
     core.quotas.set_socket(Rc::clone(&socket));
     core.rate_limits.set_socket(Rc::clone(&socket));
     spawn_local(follow::run(Rc::clone(core), Rc::clone(&socket)));
