--- a/crates/jb-tree/benches/merge.rs
+++ b/crates/jb-tree/benches/merge.rs
@@ -1,4 +1,4 @@
-//! Cost of an edit, a check and a compilation at 550 customers.
+//! Measures applying and checking an edit, compiling a tree, and splitting it into parts, at 550 customers.
 
 #![allow(missing_docs, clippy::expect_used)]
 
--- a/crates/jb-tree/src/check.rs
+++ b/crates/jb-tree/src/check.rs
@@ -1,4 +1,4 @@
-//! The check of a whole tree before it is accepted.
+//! Validation of a whole tree before it is accepted.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,10 +13,10 @@
 
 const FULL_SHARE: u32 = 100;
 
-/// Checks everything that one node's types cannot say.
+/// Validates the constraints that the types of a single node's settings cannot express.
 ///
 /// # Errors
-/// [`Error::Check`] with every fault found.
+/// Returns [`Error::Check`] with every violation found.
 pub fn check(tree: &Tree) -> Result<(), Error> {
     let mut faults = Vec::new();
     let mut owners = HashMap::new();
@@ -38,21 +38,21 @@
     }
 }
 
-/// Settings that have a meaning at one kind of node only.
+/// Reports settings that are only valid at one kind of node and appear at another.
 fn check_place(path: &Path, own: &Settings, faults: &mut Vec<String>) {
     let depth = path.segments().count();
     let upstream = path.branch() == Branch::Services && depth == 3;
     let customer = path.branch() == Branch::Customers && depth > 1;
     if own.keys.is_some() && !customer {
-        faults.push(format!("`{path}` sets `keys`, which only a customer may"));
+        faults.push(format!("`{path}` sets `keys`, which is only valid at a customer"));
     }
     if (own.address.is_some() || own.leaving.is_some()) && !upstream {
         faults.push(format!(
-            "`{path}` sets `address` or `leaving`, which only an upstream may"
+            "`{path}` sets `address` or `leaving`, which are only valid at an upstream"
         ));
     }
     if own.service.is_some() && path.branch() != Branch::Routes {
-        faults.push(format!("`{path}` sets `service`, which only a route may"));
+        faults.push(format!("`{path}` sets `service`, which is only valid at a route"));
     }
 }
 
@@ -70,17 +70,17 @@
     for key in keys {
         let Some(digest) = Digest::parse(key) else {
             faults.push(format!(
-                "`{path}` has a key that is not `sha256:` and 64 hex digits"
+                "`{path}` has a key that is not `sha256:` followed by 64 hex digits"
             ));
             continue;
         };
         if let Some(other) = owners.insert(digest, path.clone()) {
-            faults.push(format!("`{path}` and `{other}` share a key"));
+            faults.push(format!("`{path}` and `{other}` have a bearer key in common"));
         }
     }
 }
 
-/// The last segment is the id, so two nodes of a branch may not share it.
+/// Reports two nodes of a branch with the same last path segment, because that segment is the id.
 fn check_name(branch: u8, path: &Path, names: &mut HashMap<(u8, String), Path>, faults: &mut Vec<String>) {
     let name = (branch, path.name().to_owned());
     if let Some(other) = names.insert(name, path.clone()) {
@@ -93,17 +93,17 @@
         2 => {
             let engine = settings.kind.unwrap_or_default() == Kind::Engine;
             if engine && settings.model.is_none() {
-                faults.push(format!("`{path}` has engines but no `model`"));
+                faults.push(format!("`{path}` is an engine service without a `model`"));
             }
             let weight = settings.cache_weight.unwrap_or(0.0);
             if !(0.0..=100.0).contains(&weight) {
-                faults.push(format!("`{path}`: `cache_weight` must be from 0 to 100"));
+                faults.push(format!("`{path}`: `cache_weight` must be between 0 and 100"));
             }
             if settings
                 .prefill_us_per_token
                 .is_some_and(|us| !us.is_finite() || us <= 0.0)
             {
-                faults.push(format!("`{path}`: `prefill_us_per_token` must be above 0"));
+                faults.push(format!("`{path}`: `prefill_us_per_token` must be greater than 0"));
             }
         }
         3 => check_upstream(path, settings, faults),
@@ -139,13 +139,17 @@
         let node = format!("/services/{service}").parse::<Path>();
         let known = node.is_ok_and(|node| tree.node(&node).is_some());
         if !known {
-            faults.push(format!("`{path}` leads to `{service}`, which is no service"));
+            faults.push(format!(
+                "`{path}` refers to service `{service}`, which does not exist"
+            ));
         }
     }
     if settings.share.is_some_and(|share| share > FULL_SHARE) {
-        faults.push(format!("`{path}`: `share` must be from 0 to 100"));
+        faults.push(format!("`{path}`: `share` must be between 0 and 100"));
     }
     if settings.target.is_some() && settings.home.is_none() {
-        faults.push(format!("`{path}` has a `target` but no `home` to move from"));
+        faults.push(format!(
+            "`{path}` sets `target` for a migration but no `home` to migrate from"
+        ));
     }
 }
--- a/crates/jb-tree/src/document.rs
+++ b/crates/jb-tree/src/document.rs
@@ -1,4 +1,4 @@
-//! The tree as a TOML document: one table per node, headed by its path.
+//! The TOML form of a tree: one table per node, named by the node's path.
 
 use std::sync::Arc;
 
@@ -7,11 +7,11 @@
 use crate::error::Error;
 use crate::tree::Tree;
 
-/// Reads a document; the file's name goes into errors.
+/// Parses a TOML document into a tree; `name` is the file name shown in errors.
 ///
 /// # Errors
-/// When the text is no TOML, a path is no node's, or a setting is unknown or
-/// of the wrong type. The error points at the place.
+/// Returns [`Error::Document`] with the position when the text is not valid TOML, a path is invalid, or a
+/// setting is unknown or of the wrong type.
 pub fn read(name: &str, text: &str) -> Result<Tree, Error> {
     toml::from_str(text).map_err(|e| Error::Document {
         message: e.message().to_owned(),
@@ -20,10 +20,10 @@
     })
 }
 
-/// Writes the document of a tree.
+/// Serializes a tree as a TOML document.
 ///
 /// # Errors
-/// When a value has no TOML form.
+/// Returns [`Error::Document`] when a value cannot be represented in TOML.
 pub fn write(tree: &Tree) -> Result<String, Error> {
     toml::to_string_pretty(tree).map_err(|e| Error::Document {
         message: e.to_string(),
--- a/crates/jb-tree/src/error.rs
+++ b/crates/jb-tree/src/error.rs
@@ -1,36 +1,36 @@
-//! Errors of the tree, as diagnostics with a code and a help line.
+//! Errors of the settings tree, as diagnostics with a code and a help line.
 
 use jb_protocol::error::Kind;
 use miette::Diagnostic;
 use thiserror::Error as ThisError;
 
-/// Why a tree, a document or an edit was refused.
+/// Reasons for rejecting a tree, a document or an edit.
 #[derive(Debug, ThisError, Diagnostic)]
 pub enum Error {
-    /// The document is no TOML, or a setting has the wrong name or type.
-    #[error("the tree document cannot be read: {message}")]
+    /// The document is not valid TOML, or a setting is unknown or of the wrong type.
+    #[error("cannot parse the tree document: {message}")]
     #[diagnostic(
         code(tree::document),
         help("docs/OPERATORS.md lists every setting with its type")
     )]
     Document {
-        /// What the parser found.
+        /// Message of the parser.
         message: String,
-        /// The document.
+        /// Text of the document, for the diagnostic.
         #[source_code]
         source_code: std::sync::Arc<miette::NamedSource<String>>,
-        /// Where it found it.
+        /// Position of the error, when the parser reports one.
         #[label("here")]
         at: Option<miette::SourceSpan>,
     },
-    /// A path names no possible node.
-    #[error("`{path}` is no path of a node")]
+    /// A path does not have the form of a node's path.
+    #[error("`{path}` is not a valid node path")]
     #[diagnostic(
         code(tree::path),
         help("a path is `/`, `/customers/ID`, `/services/ID`, `/services/ID/UPSTREAM` or `/routes/ID`")
     )]
     Path {
-        /// The path as given.
+        /// Path that was given.
         path: String,
     },
     /// A setting does not exist or has the wrong type.
@@ -44,39 +44,41 @@
         path: String,
         /// Name of the setting.
         key: String,
-        /// What is wrong with it.
+        /// Reason why the setting was rejected.
         message: String,
     },
-    /// The settings of the whole tree contradict each other.
-    #[error("the tree does not hold together: {}", faults.join("; "))]
-    #[diagnostic(code(tree::check), help("change the named nodes in one edit"))]
+    /// The settings of the tree are inconsistent with each other.
+    #[error("the tree is inconsistent: {}", faults.join("; "))]
+    #[diagnostic(code(tree::check), help("correct all listed nodes in one edit"))]
     Check {
-        /// Every fault found.
+        /// Every violation found.
         faults: Vec<String>,
     },
-    /// Another edit has changed the same setting.
-    #[error("`{key}` at `{path}` is now {current}, not {expected}; the edit would set {wanted}")]
+    /// Another edit has changed the same setting since the operator read it.
+    #[error(
+        "`{key}` at `{path}` has changed from {expected} to {current}; the edit would set it to {wanted}"
+    )]
     #[diagnostic(
         code(tree::conflict),
-        help("read the setting again, decide between the values, and edit anew")
+        help("read the setting again, choose between the values, and submit a new edit")
     )]
     Conflict {
         /// Path of the node.
         path: String,
         /// Name of the setting.
         key: String,
-        /// Value that the operator saw.
+        /// Value that the operator last read.
         expected: String,
-        /// Value that is in force.
+        /// Current value.
         current: String,
         /// Value that the edit would set.
         wanted: String,
     },
-    /// A part of the tree is missing or does not have its digest.
-    #[error("the part `{name}` of the tree is missing or damaged")]
+    /// A part of the tree is missing or its body does not match its digest.
+    #[error("part `{name}` of the tree is missing or corrupted")]
     #[diagnostic(
         code(tree::part),
-        help("the box asks its peers and the platform again by itself")
+        help("no action needed: the box requests the part from its peers and the platform again")
     )]
     Part {
         /// Name of the part.
@@ -85,7 +87,7 @@
 }
 
 impl Error {
-    /// The kind of error that an operator is answered with.
+    /// Returns the error kind to report to the operator.
     pub fn kind(&self) -> Kind {
         match self {
             Self::Conflict { .. } => Kind::EditConflict,
--- a/crates/jb-tree/src/head.rs
+++ b/crates/jb-tree/src/head.rs
@@ -1,5 +1,5 @@
-//! How a tree is stored: immutable parts named by their digest, and one small
-//! head that is changed by compare-and-swap.
+//! Storage format of a tree: immutable, content-addressed parts and one small
+//! head that is updated by compare-and-swap.
 
 use std::collections::BTreeMap;
 
@@ -12,47 +12,47 @@
 use crate::settings::Settings;
 use crate::tree::Tree;
 
-/// Key of the head in the platform's service.
+/// Key of the head in the platform's key-value service.
 pub const HEAD_KEY: &str = "tree/head";
-/// Edit ids that a head remembers.
+/// Maximum number of edit ids that a head keeps to detect repeated edits.
 pub const MAX_EDITS: usize = 64;
-/// Parts over which the customers are spread, so that an edit moves little.
+/// Number of parts over which customers are distributed, so that an edit rewrites only a small part.
 const CUSTOMER_PARTS: u8 = 16;
 
-/// Digest of a part, in hex.
+/// SHA-256 digest of a part's body, in hex.
 pub type Digest = String;
 
-/// One part that a head refers to.
+/// A reference from a head to one part.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reference {
     /// Name of the part.
     pub name: String,
-    /// Digest of its body.
+    /// Digest of the part's body.
     pub digest: Digest,
 }
 
-/// The head of the tree.
+/// The root object of a stored tree: its revision and the digests of its parts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// Revision.
+    /// Revision of the tree; each edit increments it.
     pub revision: id::Revision,
-    /// Parts in the order of their names.
+    /// References to the parts, sorted by name.
     pub parts: Vec<Reference>,
-    /// Ids of the newest edits, the newest last.
+    /// Ids of the latest edits, newest last, at most [`MAX_EDITS`].
     pub edits: Vec<id::Edit>,
 }
 
-/// The body of one part.
+/// One part with its digest.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Part {
     /// Digest of the body.
     pub digest: Digest,
-    /// Nodes as JSON.
+    /// Nodes of the part with their own settings, as JSON.
     pub body: Vec<u8>,
 }
 
 impl Part {
-    /// Names a body by its digest.
+    /// Creates a part from its body and computes the digest.
     pub fn new(body: Vec<u8>) -> Self {
         Self {
             digest: hex::encode(Sha256::digest(&body)),
@@ -60,19 +60,19 @@
         }
     }
 
-    /// Key of the part in the platform's service.
+    /// Returns the key of a part in the platform's key-value service.
     pub fn key(digest: &str) -> String {
         format!("tree/part/{digest}")
     }
 }
 
 impl Head {
-    /// Whether an edit has been applied already.
+    /// Returns whether an edit is among the latest applied edits.
     pub fn has_edit(&self, edit: &str) -> bool {
         self.edits.iter().any(|id| id == edit)
     }
 
-    /// The head that follows this one.
+    /// Returns the head of the next revision, with `edit` added to the latest edits.
     pub fn next(&self, edit: &str, parts: Vec<Reference>) -> Self {
         let mut edits = self.edits.clone();
         edits.push(edit.to_owned());
@@ -86,19 +86,19 @@
     }
 }
 
-/// A tree cut into parts.
+/// A tree split into parts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Cut {
-    /// References in the order of their names.
+    /// References to the parts, sorted by name.
     pub references: Vec<Reference>,
-    /// The parts, in the same order.
+    /// Parts, in the order of `references`.
     pub parts: Vec<Part>,
 }
 
-/// Cuts a tree into its parts.
+/// Splits a tree into parts.
 ///
 /// # Errors
-/// When a part has no JSON form.
+/// Returns [`Error::Part`] when a part cannot be represented in JSON.
 pub fn cut(tree: &Tree) -> Result<Cut, Error> {
     let mut groups: BTreeMap<String, BTreeMap<&Path, &Settings>> = BTreeMap::new();
     for (path, settings) in tree.nodes() {
@@ -117,10 +117,10 @@
     Ok(out)
 }
 
-/// Joins the parts of a head; `find` gives the body of a digest.
+/// Rebuilds a tree from the parts of a head; `find` returns the body with a digest.
 ///
 /// # Errors
-/// [`Error::Part`] when a part is missing, damaged, or holds a foreign node.
+/// Returns [`Error::Part`] when a part is missing, does not match its digest, or cannot be parsed.
 pub fn join<'a>(head: &Head, find: impl Fn(&str) -> Option<&'a [u8]>) -> Result<Tree, Error> {
     let mut tree = Tree::default();
     for reference in &head.parts {
@@ -142,7 +142,7 @@
 fn part_of(path: &Path) -> String {
     match path.branch() {
         Branch::Root => "root".to_owned(),
-        // One service is one part: its upstreams change together.
+        // A service and its upstreams form one part, because upstreams of a service usually change together.
         Branch::Services => format!("service-{}", path.segments().nth(1).unwrap_or_default()),
         Branch::Routes => "routes".to_owned(),
         Branch::Customers => {
--- a/crates/jb-tree/src/key.rs
+++ b/crates/jb-tree/src/key.rs
@@ -1,29 +1,29 @@
-//! Bearer keys: the tree holds only their hashes.
+//! Digests of bearer keys; the tree stores no keys in plain text.
 
 use sha2::{Digest as _, Sha256};
 use subtle::ConstantTimeEq as _;
 
-/// Prefix of a key's hash in the tree.
+/// Prefix of a key's digest in the tree.
 pub const SCHEME: &str = "sha256:";
 
-/// Digest of a bearer key.
+/// SHA-256 digest of a bearer key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Digest([u8; 32]);
 
 impl Digest {
-    /// Hashes a key as a caller sends it.
+    /// Computes the digest of a key as sent by a caller.
     pub fn of(key: &str) -> Self {
         Self(Sha256::digest(key.as_bytes()).into())
     }
 
-    /// Reads the form in the tree, `sha256:` and 64 hex digits.
+    /// Parses the form stored in the tree: `sha256:` followed by 64 hex digits.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix(SCHEME)?;
         let bytes = hex::decode(digits).ok()?;
         Some(Self(bytes.try_into().ok()?))
     }
 
-    /// Compares in constant time.
+    /// Compares two digests in constant time.
     pub fn matches(&self, other: &Self) -> bool {
         self.0.ct_eq(&other.0).into()
     }
--- a/crates/jb-tree/src/lib.rs
+++ b/crates/jb-tree/src/lib.rs
@@ -1,9 +1,9 @@
 //! The tree of settings: customers, services and routes.
 //!
 //! A node inherits every setting from its parent unless it overrides it. The
-//! crate holds the typed settings, the check of a whole tree, edits that
-//! rebase or conflict, and the content-addressed parts in which a tree is
-//! kept. It does no I/O.
+//! crate defines the typed settings, the validation of a whole tree, edits with
+//! conflict detection, and the content-addressed parts in which a tree is
+//! stored. It does no I/O.
 
 pub mod check;
 pub mod document;
--- a/crates/jb-tree/src/path.rs
+++ b/crates/jb-tree/src/path.rs
@@ -1,4 +1,4 @@
-//! Paths of nodes and what stands at each.
+//! Node paths and the branches of the tree.
 
 use std::fmt;
 use std::str::FromStr;
@@ -12,26 +12,26 @@
 #[serde(try_from = "String", into = "String")]
 pub struct Path(String);
 
-/// Branch of the tree below the root.
+/// Top-level branch of the tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Branch {
-    /// The root itself.
+    /// Root node, above all branches.
     Root,
     /// Customers and groups of customers.
     Customers,
-    /// Services, and below each its upstreams.
+    /// Services, each with its upstreams as children.
     Services,
     /// Routes and groups of routes.
     Routes,
 }
 
 impl Path {
-    /// Path of the root.
+    /// Returns the path of the root, `/`.
     pub fn root() -> Self {
         Self("/".to_owned())
     }
 
-    /// Branch to which the node belongs.
+    /// Returns the branch to which the node belongs.
     pub fn branch(&self) -> Branch {
         match self.segments().next() {
             Some("customers") => Branch::Customers,
@@ -41,17 +41,17 @@
         }
     }
 
-    /// Segments of the path, the branch first.
+    /// Iterates over the segments of the path, starting with the branch.
     pub fn segments(&self) -> impl Iterator<Item = &str> {
         self.0.split('/').filter(|segment| !segment.is_empty())
     }
 
-    /// Last segment; empty for the root.
+    /// Returns the last segment, which is empty for the root.
     pub fn name(&self) -> &str {
         self.0.rsplit('/').next().unwrap_or_default()
     }
 
-    /// Parent; `None` for the root.
+    /// Returns the path of the parent node, or `None` for the root.
     pub fn parent(&self) -> Option<Self> {
         let cut = self.0.rfind('/')?;
         match (self.0.len(), cut) {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The path as text.
+    /// Returns the path as a string slice.
     pub fn as_str(&self) -> &str {
         &self.0
     }
--- a/crates/jb-tree/src/settings.rs
+++ b/crates/jb-tree/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one node, and how a child inherits them.
+//! The settings of a node and their inheritance from its parent.
 
 use jb_protocol::id;
 use jb_protocol::priority::Priority;
@@ -11,7 +11,7 @@
 
 macro_rules! settings {
     ($($(#[doc = $doc:literal])+ $name:ident: $type:ty,)*) => {
-        /// Own settings of one node; `None` is inherited from the parent.
+        /// Settings that one node sets itself; `None` means inherited from the parent.
         #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
         #[serde(deny_unknown_fields)]
         pub struct Settings {
@@ -23,10 +23,10 @@
         }
 
         impl Settings {
-            /// Names of all settings.
+            /// Names of all settings, in the order of declaration.
             pub const NAMES: &'static [&'static str] = &[$(stringify!($name)),*];
 
-            /// Fills what this node does not set from its parent's effective settings.
+            /// Returns these settings with unset ones taken from the parent's effective settings.
             pub fn inherit(&self, parent: &Self) -> Self {
                 Self { $($name: self.$name.clone().or_else(|| parent.$name.clone())),* }
             }
@@ -35,75 +35,75 @@
 }
 
 settings! {
-    /// Longest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     max_body_bytes: u32,
-    /// Milliseconds to the first token for a caller that names no deadline.
+    /// Default deadline for the first token in milliseconds, for requests without one.
     deadline_ms: u32,
-    /// Priority class of requests that name none.
+    /// Default priority class, for requests without one.
     priority: Priority,
-    /// Hashes of a customer's bearer keys, `sha256:` and 64 hex digits.
+    /// Digests of a customer's bearer keys, each `sha256:` followed by 64 hex digits.
     keys: Vec<String>,
-    /// Tokens a second that a customer may use in one hall.
+    /// Token rate limit of a customer in one hall, in tokens per second.
     tokens_per_second: u32,
-    /// Requests that a customer may have open in one hall.
+    /// Maximum number of concurrent requests of a customer in one hall.
     max_concurrent: u32,
     /// Routes and services that a customer may use; all when unset.
     models: Vec<id::Route>,
-    /// What stands behind a service.
+    /// Kind of upstreams that a service has.
     kind: Kind,
     /// Model that a service's engines must have loaded.
     model: String,
     /// Version of the weights that a service's engines must have loaded.
     weights: id::Weights,
-    /// How a service chooses among its upstreams.
+    /// Load-balancing policy of a service.
     policy: Policy,
-    /// Weight of recomputed tokens against the time to the first token; 0 looks at time alone.
+    /// Weight of recomputed prompt tokens relative to the time to the first token; 0 considers time only.
     cache_weight: f64,
-    /// Microseconds in which an engine processes one token of a prompt.
+    /// Prefill time per prompt token, in microseconds.
     prefill_us_per_token: f64,
-    /// Tokens that one engine's cache holds.
+    /// Capacity of one engine's prefix cache, in tokens.
     cache_tokens: u32,
-    /// Milliseconds of waiting work above which an engine takes nothing more.
+    /// Maximum queued work of an engine, in milliseconds; above it the engine receives no new requests.
     max_wait_ms: u32,
-    /// Retries allowed for every 100 requests of a service.
+    /// Retry budget of a service: retries allowed per 100 requests.
     retry_percent: u32,
-    /// Milliseconds without a byte after which an upstream is given up.
+    /// Idle time-out of an upstream's response: milliseconds without a byte after which the attempt fails.
     silence_ms: u32,
-    /// Whether the hall's leader orders a service's engines to its model and weights.
+    /// Whether the hall's leader orders the service's engines to load the service's model and weights.
     orders: bool,
-    /// Address of an upstream, IP and port.
+    /// Address of an upstream: IP and port.
     address: String,
     /// Data hall of an upstream.
     hall: id::Hall,
-    /// Whether an upstream gets no new work.
+    /// Whether an upstream is draining and receives no new requests.
     leaving: bool,
-    /// Whether an engine refuses orders with an old fencing token.
+    /// Whether an engine rejects orders with an outdated fencing token.
     checks_fence: bool,
-    /// Service that a route leads to.
+    /// Service to which a route sends requests.
     service: id::Service,
-    /// Hall that serves a route; the hall of the entry box when unset.
+    /// Hall that serves a route; when unset, the hall of the box that received the request.
     home: id::Hall,
-    /// Hall to which a route moves.
+    /// Hall to which a route is being migrated.
     target: id::Hall,
-    /// Percentage of a route's prefix families that the target serves.
+    /// Percentage of a route's prefix families that the target hall serves.
     share: u32,
 }
 
 impl Settings {
-    /// Reads one setting as JSON; `None` where it is not set.
+    /// Returns one setting as JSON, or `None` when the node does not set it.
     ///
     /// # Errors
-    /// When no setting has the name.
+    /// Returns [`Error::Setting`] when no setting has this name.
     pub fn get(&self, path: &Path, key: &str) -> Result<Option<Value>, Error> {
         check_name(path, key)?;
         let all = self.to_value(path)?;
         Ok(all.get(key).cloned())
     }
 
-    /// Sets one setting from JSON, or unsets it.
+    /// Sets one setting from JSON; `None` removes it.
     ///
     /// # Errors
-    /// When no setting has the name, or the value has the wrong type.
+    /// Returns [`Error::Setting`] when no setting has this name, or the value has the wrong type.
     pub fn set(&mut self, path: &Path, key: &str, value: Option<Value>) -> Result<(), Error> {
         check_name(path, key)?;
         let mut all = self.to_value(path)?;
@@ -121,7 +121,7 @@
         Ok(())
     }
 
-    /// Whether the node sets nothing itself.
+    /// Returns whether the node sets no setting itself.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
@@ -142,6 +142,6 @@
     Err(Error::Setting {
         path: path.to_string(),
         key: key.to_owned(),
-        message: "no setting has this name".to_owned(),
+        message: "unknown setting".to_owned(),
     })
 }
--- a/crates/jb-tree/src/tree.rs
+++ b/crates/jb-tree/src/tree.rs
@@ -1,4 +1,4 @@
-//! The tree itself: nodes by path.
+//! The settings tree: nodes indexed by path.
 
 use std::collections::BTreeMap;
 
@@ -8,47 +8,47 @@
 use crate::path::Path;
 use crate::settings::Settings;
 
-/// A whole tree of settings.
+/// A tree of settings.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Tree {
     nodes: BTreeMap<Path, Settings>,
 }
 
-/// An effective value and the node that sets it.
+/// The effective value of a setting and the node that sets it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Origin {
     /// Name of the setting.
     pub key: String,
-    /// The value in force.
+    /// Effective value.
     pub value: serde_json::Value,
     /// Path of the node that sets it.
     pub from: Path,
 }
 
-/// A tree as a box shows it to operators.
+/// A tree with its revision, as returned to operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Shown {
-    /// Revision.
+    /// Revision of the tree.
     pub revision: id::Revision,
-    /// Ids of the newest edits, the newest last.
+    /// Ids of the latest edits, newest last.
     pub edits: Vec<id::Edit>,
-    /// The tree.
+    /// Nodes with their own settings.
     pub tree: Tree,
 }
 
 impl Tree {
-    /// Own settings of a node.
+    /// Returns the settings that a node sets itself, or `None` when it sets none.
     pub fn node(&self, path: &Path) -> Option<&Settings> {
         self.nodes.get(path)
     }
 
-    /// All nodes with their own settings, in the order of their paths.
+    /// Iterates over all nodes with their own settings, sorted by path.
     pub fn nodes(&self) -> impl Iterator<Item = (&Path, &Settings)> {
         self.nodes.iter()
     }
 
-    /// Puts a node's own settings; a node without any is removed.
+    /// Replaces a node's own settings; a node with empty settings is removed.
     pub fn put(&mut self, path: Path, settings: Settings) {
         if settings.is_empty() {
             self.nodes.remove(&path);
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Settings of a node with everything that it inherits.
+    /// Returns the effective settings of a node, including inherited ones.
     pub fn effective(&self, path: &Path) -> Settings {
         let own = self.nodes.get(path).cloned().unwrap_or_default();
         match path.parent() {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Every effective setting of a node, with the node that sets it.
+    /// Returns every effective setting of a node with the node that sets it.
     pub fn origins(&self, path: &Path) -> Vec<Origin> {
         Settings::NAMES
             .iter()
--- a/crates/jb-tree/src/view.rs
+++ b/crates/jb-tree/src/view.rs
@@ -1,4 +1,4 @@
-//! The tree compiled for serving: typed customers, services and routes.
+//! The tree compiled for request handling: typed customers, services and routes.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -24,25 +24,25 @@
 const DEFAULT_RETRY_PERCENT: u32 = 20;
 const DEFAULT_SILENCE_MS: u32 = 5_000;
 
-/// A customer with its limits.
+/// A customer with its keys and limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Customer {
     /// Name.
     pub id: id::Customer,
     /// Digests of its bearer keys.
     pub keys: Vec<Digest>,
-    /// Tokens a second in one hall.
+    /// Token rate limit in one hall, in tokens per second.
     pub tokens_per_second: u32,
-    /// Requests open in one hall.
+    /// Maximum number of concurrent requests in one hall.
     pub max_concurrent: u32,
-    /// Routes and services it may use; all when `None`.
+    /// Routes and services that the customer may use; all when `None`.
     pub models: Option<Vec<id::Route>>,
-    /// Priority class that replaces the route's.
+    /// Priority class that overrides the route's.
     pub priority: Option<Priority>,
 }
 
 impl Customer {
-    /// Whether the customer may use a route or a plain service.
+    /// Returns whether the customer may use a route or a plain service.
     pub fn may_use(&self, name: &str) -> bool {
         match &self.models {
             Some(models) => models.iter().any(|m| m == name),
@@ -54,15 +54,15 @@
 /// One upstream of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Upstream {
-    /// Name, `service/upstream`.
+    /// Name, in the form `service/upstream`.
     pub id: id::Upstream,
-    /// Address.
+    /// IP address and port.
     pub address: SocketAddr,
-    /// Data hall.
+    /// Data hall where the upstream runs.
     pub hall: id::Hall,
-    /// Whether it drains by the tree.
+    /// Whether the tree marks it as draining.
     pub leaving: bool,
-    /// Whether it refuses orders with an old fencing token.
+    /// Whether it rejects orders with an outdated fencing token.
     pub checks_fence: bool,
 }
 
@@ -71,56 +71,56 @@
 pub struct Service {
     /// Name.
     pub id: id::Service,
-    /// What stands behind it.
+    /// Kind of upstreams.
     pub kind: Kind,
     /// Model its engines must have loaded.
     pub model: String,
     /// Version of the weights its engines must have loaded.
     pub weights: id::Weights,
-    /// How an upstream is chosen.
+    /// Load-balancing policy.
     pub policy: Policy,
-    /// Weight of recomputed tokens against time.
+    /// Weight of recomputed prompt tokens relative to the time to the first token.
     pub cache_weight: f64,
-    /// Microseconds per prompt token.
+    /// Prefill time per prompt token, in microseconds.
     pub prefill_us_per_token: f64,
-    /// Tokens that one engine's cache holds.
+    /// Capacity of one engine's prefix cache, in tokens.
     pub cache_tokens: u32,
-    /// Waiting work above which an engine takes nothing more.
+    /// Maximum queued work of an engine; above it the engine receives no new requests.
     pub max_wait: Duration,
-    /// Retries per 100 requests.
+    /// Retry budget: retries allowed per 100 requests.
     pub retry_percent: u32,
-    /// Silence after which an upstream is given up.
+    /// Time without a byte of the response after which an attempt fails.
     pub silence: Duration,
-    /// Whether its engines are ordered to its model and weights.
+    /// Whether the hall's leader orders the engines to load `model` and `weights`.
     pub orders: bool,
-    /// Longest request body of a plain service, in bytes.
+    /// Maximum size of a request body for a plain service, in bytes.
     pub max_body_bytes: u32,
-    /// Upstreams of all halls.
+    /// Upstreams in all halls.
     pub upstreams: Vec<Upstream>,
 }
 
-/// A route from a model's public name to a service.
+/// A mapping from a public model name to a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Name; callers give it as the model.
+    /// Name, which callers send as the model.
     pub id: id::Route,
-    /// Service it leads to.
+    /// Service that receives the requests.
     pub service: id::Service,
-    /// Hall that serves it; the entry box's own when `None`.
+    /// Hall that serves the route; when `None`, the hall of the box that received the request.
     pub home: Option<id::Hall>,
-    /// Hall to which it moves.
+    /// Hall to which the route is being migrated.
     pub target: Option<id::Hall>,
-    /// Percentage of families that the target serves.
+    /// Percentage of prefix families that the target hall serves.
     pub share: u32,
-    /// Priority class of requests that name none.
+    /// Default priority class, for requests without one.
     pub priority: Priority,
-    /// Time to the first token for callers that name none.
+    /// Default deadline for the first token, for requests without one.
     pub deadline: Duration,
-    /// Longest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: u32,
 }
 
-/// A whole tree, compiled.
+/// A compiled tree.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct View {
     /// Revision of the tree.
@@ -135,7 +135,7 @@
 }
 
 impl View {
-    /// Compiles a checked tree; nodes that the check would refuse are left out.
+    /// Compiles a validated tree; incomplete upstreams and malformed keys are skipped.
     pub fn compile(tree: &Tree, revision: id::Revision) -> Self {
         let mut view = Self {
             revision,
@@ -153,7 +153,7 @@
         view
     }
 
-    /// Customer to whom a bearer key belongs.
+    /// Returns the customer to whom a bearer key belongs, or `None` for an unknown key.
     pub fn customer_of(&self, key: &str) -> Option<&Customer> {
         let digest = Digest::of(key);
         let customer = self.customers.get(self.owners.get(&digest)?)?;
--- a/crates/jb-tree/tests/tree.rs
+++ b/crates/jb-tree/tests/tree.rs
@@ -1,4 +1,4 @@
-//! The tree: inheritance, checks, edits, parts.
+//! Tests of inheritance, validation, edits and the storage format of the tree.
 
 #![allow(clippy::expect_used)]
 
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_node_inherits_unless_it_overrides() {
+fn node_inherits_settings_that_it_does_not_override() {
     let view = View::compile(&tree(), 1);
     let (ann, bob) = (&view.customers["ann"], &view.customers["bob"]);
     assert_eq!((ann.max_concurrent, ann.tokens_per_second), (7, 100));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn the_origin_of_a_value_is_told() {
+fn origins_name_the_node_that_sets_a_value() {
     let origins = tree().origins(&"/customers/team/ann".parse().expect("a path"));
     let of = |key: &str| origins.iter().find(|o| o.key == key).map(|o| o.from.to_string());
     assert_eq!(of("max_concurrent").as_deref(), Some("/customers/team"));
@@ -56,14 +56,14 @@
 }
 
 #[test]
-fn a_key_belongs_to_one_customer_and_others_learn_nothing() {
+fn bearer_key_resolves_to_its_customer_and_unknown_key_to_none() {
     let view = View::compile(&tree(), 1);
     assert_eq!(view.customer_of("ann").map(|c| c.id.as_str()), Some("ann"));
     assert!(view.customer_of("nobody").is_none());
 }
 
 #[test]
-fn faults_of_the_whole_tree_are_refused_together() {
+fn check_reports_all_violations_at_once() {
     let text = "[\"/customers/a\"]\nkeys = [\"x\"]\n[\"/services/s/u\"]\naddress = \"here\"\n\
                 [\"/routes/r\"]\nservice = \"nowhere\"\nshare = 200\n";
     let broken = document::read("test", text).expect("readable");
@@ -74,13 +74,13 @@
 }
 
 #[test]
-fn unknown_settings_are_refused_with_their_place() {
+fn unknown_setting_is_rejected_with_its_position() {
     let error = document::read("test", "[\"/routes/r\"]\nservise = \"s\"\n").expect_err("a wrong name");
     assert!(matches!(error, Error::Document { at: Some(_), .. }));
 }
 
 #[test]
-fn paths_that_are_no_nodes_are_refused() {
+fn invalid_paths_are_rejected() {
     for path in [
         "",
         "customers",
@@ -94,9 +94,9 @@
 }
 
 #[test]
-fn disjoint_edits_rebase_and_overlapping_ones_conflict() {
+fn edits_of_other_settings_apply_and_edits_of_the_same_setting_conflict() {
     let set = |from, to| edit(vec![change("/customers/bob", "max_concurrent", from, to)]);
-    let first = apply(&tree(), &set(None, Some(json!(9)))).expect("no rival");
+    let first = apply(&tree(), &set(None, Some(json!(9)))).expect("no conflict");
     let disjoint = edit(vec![change(
         "/customers/bob",
         "priority",
@@ -110,15 +110,15 @@
         }
         other => panic!("{other:?}"),
     }
-    // The same edit again finds its value in force.
+    // Applying the same edit again changes nothing, because its value is already set.
     assert_eq!(
-        apply(&first, &set(None, Some(json!(9)))).expect("nothing to do"),
+        apply(&first, &set(None, Some(json!(9)))).expect("value already set"),
         first
     );
 }
 
 #[test]
-fn an_edit_that_breaks_the_tree_is_refused_whole() {
+fn edit_with_one_invalid_change_is_rejected_entirely() {
     let changes = vec![
         change("/customers/bob", "max_concurrent", None, Some(json!(9))),
         change("/routes/r", "service", Some(json!("s")), Some(json!("nowhere"))),
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_cut_tree_joins_to_itself_and_damage_is_found() {
+fn split_tree_joins_to_the_same_tree_and_corrupt_or_missing_parts_are_rejected() {
     let cut = head::cut(&tree()).expect("parts");
     let head = Head::default().next("e", cut.references.clone());
     let find = |digest: &str| {
@@ -136,13 +136,13 @@
             .find(|p| p.digest == digest)
             .map(|p| p.body.as_slice())
     };
-    assert_eq!(head::join(&head, find).expect("whole"), tree());
+    assert_eq!(head::join(&head, find).expect("all parts present"), tree());
     assert!(head::join(&head, |_| Some(b"{}".as_slice())).is_err());
     assert!(head::join(&head, |_| None).is_err());
 }
 
 #[test]
-fn a_head_remembers_its_newest_edits() {
+fn head_keeps_only_the_latest_edit_ids() {
     let mut head = Head::default();
     for n in 0..100 {
         head = head.next(&n.to_string(), Vec::new());
@@ -151,10 +151,10 @@
     assert!(head.has_edit("99") && !head.has_edit("0"));
 }
 
-/// Operators race: each reads, then edits what it has read. Whatever the
-/// order, an accepted edit is in the tree until another accepted one says so.
+/// Guards against lost updates: three operators read the tree and submit edits based on what they read, in a
+/// random order. An accepted value must stay until another accepted edit replaces it.
 #[test]
-fn accepted_edits_are_never_lost_in_any_order_of_racing_operators() {
+fn concurrent_edits_never_lose_an_accepted_value() {
     for seed in 0..200 {
         let mut source = Gen::from_size_and_seed(60, seed);
         let schedule = Vec::<(u8, u8)>::arbitrary(&mut source);
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn the_difference_of_two_trees_leads_from_one_to_the_other() {
+fn applying_the_diff_of_two_trees_yields_the_second_tree() {
     let changes = between(&Tree::default(), &tree()).expect("changes");
     assert_eq!(apply(&Tree::default(), &edit(changes)).expect("applies"), tree());
 }
