--- a/crates/jb-cli/src/command/edit.rs
+++ b/crates/jb-cli/src/command/edit.rs
@@ -4,7 +4,7 @@
 
 use jb_protocol::admin::{Accepted, Status};
 use jb_tree::edit::{Change, Edit};
-use jb_tree::tree::Shown;
+use jb_tree::tree::Snapshot;
 
 use super::Context;
 use crate::error::Error;
@@ -23,7 +23,7 @@
 }
 
 /// The tree in force at the box asked.
-pub async fn tree(context: &Context) -> Result<Shown, Error> {
+pub async fn tree(context: &Context) -> Result<Snapshot, Error> {
     context.client.get("/admin/tree").await
 }
 
--- a/crates/jb-daemon/src/admin/edit.rs
+++ b/crates/jb-daemon/src/admin/edit.rs
@@ -7,7 +7,7 @@
 use jb_protocol::error::{Kind, Outcome};
 use jb_protocol::problem::Document;
 use jb_tree::edit::Edit;
-use jb_tree::tree::Shown;
+use jb_tree::tree::Snapshot;
 use poem::web::{Data, Json};
 use poem::{Body, Response, handler};
 use serde::Serialize;
@@ -23,7 +23,7 @@
 #[handler]
 pub fn show_tree(Data(context): Data<&Arc<Context>>) -> Response {
     let current = context.store.current();
-    let body = Shown {
+    let body = Snapshot {
         revision: current.head.revision,
         edits: current.head.edits.clone(),
         tree: current.tree.clone(),
--- a/crates/jb-tree/src/tree.rs
+++ b/crates/jb-tree/src/tree.rs
@@ -28,7 +28,7 @@
 
 /// A tree with its revision, as returned to operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Shown {
+pub struct Snapshot {
     /// Revision of the tree.
     pub revision: id::Revision,
     /// Ids of the latest edits, newest last.
