--- a/crates/jb-cli/src/command/tree/import.rs
+++ b/crates/jb-cli/src/command/tree/import.rs
@@ -2,7 +2,7 @@
 
 use argh::FromArgs;
 use jb_tree::check::check;
-use jb_tree::edit::between;
+use jb_tree::edit::diff;
 
 use super::export::REVISION_LINE;
 use crate::command::edit::Options;
@@ -34,7 +34,7 @@
         id: arguments.id.clone(),
         wait_s: arguments.wait,
     };
-    edit::send(context, between(&current.tree, &wanted)?, &options).await
+    edit::send(context, diff(&current.tree, &wanted)?, &options).await
 }
 
 /// Refuses a document that was exported before the newest edit: importing it
--- a/crates/jb-fakes/src/fleet/client.rs
+++ b/crates/jb-fakes/src/fleet/client.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use jb_tree::Tree;
-use jb_tree::edit::{Edit, between};
+use jb_tree::edit::{Edit, diff};
 use miette::{IntoDiagnostic as _, miette};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -129,7 +129,7 @@
         let edit = Edit {
             id: id.to_owned(),
             author: "tests".to_owned(),
-            changes: between(&before, tree)?,
+            changes: diff(&before, tree)?,
         };
         let posted = self.post(operators, "/admin/edit", &edit).await?;
         let revision = posted.body["revision"].as_u64();
--- a/crates/jb-tree/src/edit.rs
+++ b/crates/jb-tree/src/edit.rs
@@ -78,7 +78,7 @@
 ///
 /// # Errors
 /// Returns [`Error::Setting`] when a setting cannot be represented in JSON.
-pub fn between(old: &Tree, new: &Tree) -> Result<Vec<Change>, Error> {
+pub fn diff(old: &Tree, new: &Tree) -> Result<Vec<Change>, Error> {
     let mut paths: Vec<&Path> = old.nodes().chain(new.nodes()).map(|(path, _)| path).collect();
     paths.sort();
     paths.dedup();
--- a/crates/jb-tree/tests/tree.rs
+++ b/crates/jb-tree/tests/tree.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::expect_used)]
 
-use jb_tree::edit::{Change, Edit, apply, between};
+use jb_tree::edit::{Change, Edit, apply, diff};
 use jb_tree::head::{self, Head};
 use jb_tree::key::Digest;
 use jb_tree::view::View;
@@ -185,6 +185,6 @@
 
 #[test]
 fn applying_the_diff_of_two_trees_yields_the_second_tree() {
-    let changes = between(&Tree::default(), &tree()).expect("changes");
+    let changes = diff(&Tree::default(), &tree()).expect("changes");
     assert_eq!(apply(&Tree::default(), &edit(changes)).expect("applies"), tree());
 }
