--- a/crates/jb-daemon/src/follow/edit.rs
+++ b/crates/jb-daemon/src/follow/edit.rs
@@ -137,7 +137,7 @@
             .map(|part| part.body.as_slice())
     };
     let tree = head::join(head, body_of)?;
-    let cut = head::cut(&apply(&tree, edit)?)?;
+    let cut = head::split(&apply(&tree, edit)?)?;
     let next = head.next(&edit.id, cut.references);
     let new = cut
         .parts
--- a/crates/jb-daemon/tests/store.rs
+++ b/crates/jb-daemon/tests/store.rs
@@ -7,7 +7,7 @@
 use jb_tree::{Tree, document};
 
 fn offer_of(revision: u64, tree: &Tree) -> (Head, Vec<Part>) {
-    let cut = head::cut(tree).expect("parts");
+    let cut = head::split(tree).expect("parts");
     let head = Head {
         revision,
         parts: cut.references,
--- a/crates/jb-tree/benches/merge.rs
+++ b/crates/jb-tree/benches/merge.rs
@@ -56,17 +56,19 @@
         b.iter(|| apply(black_box(&tree), &edit))
     });
     criterion.bench_function("tree/compile", |b| b.iter(|| View::compile(black_box(&tree), 1)));
-    criterion.bench_function("tree/cut_into_parts", |b| b.iter(|| head::cut(black_box(&tree))));
-    let cut = head::cut(&tree).expect("parts");
-    let bytes: usize = cut.parts.iter().map(|p| p.body.len()).sum();
-    let largest = cut.parts.iter().map(|p| p.body.len()).max().unwrap_or(0);
+    criterion.bench_function("tree/cut_into_parts", |b| {
+        b.iter(|| head::split(black_box(&tree)))
+    });
+    let split = head::split(&tree).expect("parts");
+    let bytes: usize = split.parts.iter().map(|p| p.body.len()).sum();
+    let largest = split.parts.iter().map(|p| p.body.len()).max().unwrap_or(0);
     let of = |name: &str| {
-        let at = cut.references.iter().position(|r| r.name == name);
-        at.map_or(0, |at| cut.parts[at].body.len())
+        let at = split.references.iter().position(|r| r.name == name);
+        at.map_or(0, |at| split.parts[at].body.len())
     };
     println!(
         "tree: {bytes} bytes in {} parts, largest {largest}, customers-03 {}",
-        cut.parts.len(),
+        split.parts.len(),
         of("customers-03")
     );
 }
--- a/crates/jb-tree/src/edit.rs
+++ b/crates/jb-tree/src/edit.rs
@@ -60,9 +60,9 @@
         return Err(Error::Conflict {
             path: change.path.to_string(),
             key: change.key.clone(),
-            expected: show(change.from.as_ref()),
-            current: show(current.as_ref()),
-            wanted: show(change.to.as_ref()),
+            expected: display(change.from.as_ref()),
+            current: display(current.as_ref()),
+            wanted: display(change.to.as_ref()),
         });
     }
     settings.set(&change.path, &change.key, change.to.clone())?;
@@ -70,7 +70,7 @@
     Ok(())
 }
 
-fn show(value: Option<&Value>) -> String {
+fn display(value: Option<&Value>) -> String {
     value.map_or_else(|| "not set".to_owned(), Value::to_string)
 }
 
--- a/crates/jb-tree/src/error.rs
+++ b/crates/jb-tree/src/error.rs
@@ -48,11 +48,11 @@
         message: String,
     },
     /// The settings of the tree are inconsistent with each other.
-    #[error("the tree is inconsistent: {}", faults.join("; "))]
+    #[error("the tree is inconsistent: {}", violations.join("; "))]
     #[diagnostic(code(tree::check), help("correct all listed nodes in one edit"))]
     Check {
         /// Every violation found.
-        faults: Vec<String>,
+        violations: Vec<String>,
     },
     /// Another edit has changed the same setting since the operator read it.
     #[error(
--- a/crates/jb-tree/src/head.rs
+++ b/crates/jb-tree/src/head.rs
@@ -88,7 +88,7 @@
 
 /// A tree split into parts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Cut {
+pub struct Split {
     /// References to the parts, sorted by name.
     pub references: Vec<Reference>,
     /// Parts, in the order of `references`.
@@ -99,12 +99,12 @@
 ///
 /// # Errors
 /// Returns [`Error::Part`] when a part cannot be represented in JSON.
-pub fn cut(tree: &Tree) -> Result<Cut, Error> {
+pub fn split(tree: &Tree) -> Result<Split, Error> {
     let mut groups: BTreeMap<String, BTreeMap<&Path, &Settings>> = BTreeMap::new();
     for (path, settings) in tree.nodes() {
-        groups.entry(part_of(path)).or_default().insert(path, settings);
+        groups.entry(part_name(path)).or_default().insert(path, settings);
     }
-    let mut out = Cut::default();
+    let mut out = Split::default();
     for (name, nodes) in groups {
         let body = serde_json::to_vec(&nodes).map_err(|_| Error::Part { name: name.clone() })?;
         let part = Part::new(body);
@@ -139,7 +139,7 @@
     Ok(tree)
 }
 
-fn part_of(path: &Path) -> String {
+fn part_name(path: &Path) -> String {
     match path.branch() {
         Branch::Root => "root".to_owned(),
         // A service and its upstreams form one part, because upstreams of a service usually change together.
--- a/crates/jb-tree/src/tree.rs
+++ b/crates/jb-tree/src/tree.rs
@@ -75,17 +75,17 @@
     }
 
     fn origin(&self, path: &Path, key: &str) -> Option<Origin> {
-        let mut at = Some(path.clone());
-        while let Some(place) = at {
-            let own = self.nodes.get(&place).and_then(|s| s.get(&place, key).ok()?);
+        let mut node = Some(path.clone());
+        while let Some(current) = node {
+            let own = self.nodes.get(&current).and_then(|s| s.get(&current, key).ok()?);
             if let Some(value) = own {
                 return Some(Origin {
                     key: key.to_owned(),
                     value,
-                    from: place,
+                    from: current,
                 });
             }
-            at = place.parent();
+            node = current.parent();
         }
         None
     }
--- a/crates/jb-tree/src/view.rs
+++ b/crates/jb-tree/src/view.rs
@@ -131,7 +131,7 @@
     pub services: BTreeMap<id::Service, Service>,
     /// Routes by name.
     pub routes: BTreeMap<id::Route, Route>,
-    owners: HashMap<Digest, id::Customer>,
+    customers_by_key: HashMap<Digest, id::Customer>,
 }
 
 impl View {
@@ -156,7 +156,7 @@
     /// Returns the customer to whom a bearer key belongs, or `None` for an unknown key.
     pub fn customer_of(&self, key: &str) -> Option<&Customer> {
         let digest = Digest::of(key);
-        let customer = self.customers.get(self.owners.get(&digest)?)?;
+        let customer = self.customers.get(self.customers_by_key.get(&digest)?)?;
         let known = customer.keys.iter().any(|k| k.matches(&digest));
         known.then_some(customer)
     }
@@ -164,7 +164,7 @@
     fn add_customer(&mut self, path: &Path, settings: &Settings) {
         let customer = customer(path, settings);
         for key in &customer.keys {
-            self.owners.insert(*key, customer.id.clone());
+            self.customers_by_key.insert(*key, customer.id.clone());
         }
         self.customers.insert(customer.id.clone(), customer);
     }
--- a/crates/jb-tree/tests/tree.rs
+++ b/crates/jb-tree/tests/tree.rs
@@ -68,7 +68,7 @@
                 [\"/routes/r\"]\nservice = \"nowhere\"\nshare = 200\n";
     let broken = document::read("test", text).expect("readable");
     match check::check(&broken) {
-        Err(Error::Check { faults }) => assert!(faults.len() >= 5, "{faults:?}"),
+        Err(Error::Check { violations }) => assert!(violations.len() >= 5, "{violations:?}"),
         other => panic!("{other:?}"),
     }
 }
@@ -128,10 +128,11 @@
 
 #[test]
 fn split_tree_joins_to_the_same_tree_and_corrupt_or_missing_parts_are_rejected() {
-    let cut = head::cut(&tree()).expect("parts");
-    let head = Head::default().next("e", cut.references.clone());
+    let split = head::split(&tree()).expect("parts");
+    let head = Head::default().next("e", split.references.clone());
     let find = |digest: &str| {
-        cut.parts
+        split
+            .parts
             .iter()
             .find(|p| p.digest == digest)
             .map(|p| p.body.as_slice())
