--- a/crates/jb-daemon/src/start.rs
+++ b/crates/jb-daemon/src/start.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use jb_clock::Clock;
-use jb_net::Prompt;
+use jb_net::NoDelayAcceptor;
 use jb_platform::Platform;
 use jb_policy::member::Member;
 use jb_protocol::event;
@@ -180,10 +180,10 @@
     let callers = serve::app(Arc::clone(context));
     let operators = admin::app(Arc::clone(context));
     let peers = peer::serve(Arc::clone(context), listeners.peers);
-    if let Ok(acceptor) = Prompt::new(listeners.callers) {
+    if let Ok(acceptor) = NoDelayAcceptor::new(listeners.callers) {
         tokio::spawn(poem::Server::new_with_acceptor(acceptor).run(callers));
     }
-    if let Ok(acceptor) = Prompt::new(listeners.operators) {
+    if let Ok(acceptor) = NoDelayAcceptor::new(listeners.operators) {
         tokio::spawn(poem::Server::new_with_acceptor(acceptor).run(operators));
     }
     tokio::spawn(peers);
--- a/crates/jb-fakes/src/listen.rs
+++ b/crates/jb-fakes/src/listen.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use jb_net::Prompt;
+use jb_net::NoDelayAcceptor;
 use miette::IntoDiagnostic as _;
 use poem::Route;
 use serde::{Deserialize, Serialize};
@@ -32,7 +32,7 @@
 pub async fn serve(address: SocketAddr, app: Route) -> miette::Result<()> {
     let listener = TcpListener::bind(address).await.into_diagnostic()?;
     announce(listener.local_addr().into_diagnostic()?)?;
-    let acceptor = Prompt::new(listener).into_diagnostic()?;
+    let acceptor = NoDelayAcceptor::new(listener).into_diagnostic()?;
     poem::Server::new_with_acceptor(acceptor)
         .run(app)
         .await
--- a/crates/jb-net/src/lib.rs
+++ b/crates/jb-net/src/lib.rs
@@ -1,8 +1,8 @@
-//! A listener for HTTP servers that sends small answers at once.
+//! A listener for HTTP servers that disables Nagle's algorithm.
 //!
-//! Without `TCP_NODELAY` the kernel holds a short segment back until the one
-//! before it is acknowledged, and the other side delays that by up to 40 ms:
-//! a streamed token would wait that long at each hop.
+//! Without `TCP_NODELAY`, the kernel holds back a short segment until the
+//! previous one is acknowledged, and the peer delays acknowledgements by up to
+//! 40 ms: a streamed token could be delayed that long at each hop.
 
 use std::io;
 
@@ -12,15 +12,15 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Accepts connections and sets `TCP_NODELAY` on each.
-pub struct Prompt {
+pub struct NoDelayAcceptor {
     inner: TcpAcceptor,
 }
 
-impl Prompt {
-    /// Wraps a bound listener.
+impl NoDelayAcceptor {
+    /// Creates an acceptor from a bound listener.
     ///
     /// # Errors
-    /// When the listener's address cannot be read.
+    /// Returns an error when the listener's local address is unavailable.
     pub fn new(listener: TcpListener) -> io::Result<Self> {
         Ok(Self {
             inner: TcpAcceptor::from_tokio(listener)?,
@@ -28,7 +28,7 @@
     }
 }
 
-impl Acceptor for Prompt {
+impl Acceptor for NoDelayAcceptor {
     type Io = TcpStream;
 
     fn local_addr(&self) -> Vec<LocalAddr> {
