--- a/crates/jb-clock/src/clock.rs
+++ b/crates/jb-clock/src/clock.rs
@@ -1,4 +1,4 @@
-//! Moments by the clock that goes on while the machine is suspended.
+//! Clock based on the kernel's boot time, which advances while the machine is suspended.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,18 +6,18 @@
 
 use rustix::time::{DynamicClockId, clock_gettime_dynamic};
 
-/// Gives moments. Clones give the same ones.
+/// A monotonic clock; clones share its origin and return the same times.
 #[derive(Clone, Debug)]
 pub struct Clock {
-    /// The kernel's clock at the start; `None` where it has none that counts suspensions.
+    /// Boot time at the start; `None` when the kernel has no clock that includes suspensions.
     started: Option<Duration>,
     steady: Instant,
-    /// Milliseconds of suspensions that tests have brought about.
+    /// Milliseconds of suspension simulated by tests.
     skipped: Arc<AtomicU64>,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts at zero.
     pub fn start() -> Self {
         Self {
             started: boot_time(),
@@ -26,24 +26,24 @@
         }
     }
 
-    /// The present moment, as the time since the start; it never goes back.
+    /// Returns the time since the start, including suspensions; it never decreases.
     pub fn now(&self) -> Duration {
         let skipped = Duration::from_millis(self.skipped.load(Ordering::Relaxed));
         let since_start = self.started.and_then(|at| Some(boot_time()?.saturating_sub(at)));
         since_start.unwrap_or_else(|| self.steady.elapsed()) + skipped
     }
 
-    /// Time since the start in which the machine was suspended.
+    /// Returns the total time since the start in which the machine was suspended.
     pub fn suspended(&self) -> Duration {
         self.now().saturating_sub(self.steady.elapsed())
     }
 
-    /// Whether the kernel's clock counts suspensions; without it ages are too low after one.
+    /// Returns whether the kernel's clock includes suspensions. If not, ages are underestimated after one.
     pub fn counts_suspensions(&self) -> bool {
         self.started.is_some()
     }
 
-    /// Lets so much time pass at once, which no timer counts, as a suspension does; for tests.
+    /// Advances the clock but no timers, to simulate a suspension in tests.
     pub fn skip(&self, time: Duration) {
         let millis = u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
         self.skipped.fetch_add(millis, Ordering::Relaxed);
--- a/crates/jb-clock/src/lib.rs
+++ b/crates/jb-clock/src/lib.rs
@@ -1,10 +1,10 @@
-//! The clock of a box: moments since its process started.
+//! A monotonic clock that includes the time in which the machine is suspended.
 //!
-//! A machine may be suspended for seconds. The steady clock of [`std::time::Instant`], and with it
-//! every timer, does not count that time: a box that woke up would take its configuration, keys,
-//! leases and what it knows of others for younger than they are. The clock here counts it. The time
-//! of day does as well, but it jumps, and is trusted for no age. A timer that waits through a
-//! suspension goes off late; so what it guards is judged again, by this clock, when it is used.
+//! A machine may be suspended for seconds. [`std::time::Instant`] and all timers exclude that time:
+//! after a resume, a box would underestimate the age of its configuration, keys, leases and what it
+//! knows about other boxes. This clock includes it. The wall clock includes it as well, but can be
+//! set to another time, so it is not used for ages. A timer that runs during a suspension fires
+//! late, so whatever it expires must be checked again with this clock at the time of use.
 
 mod clock;
 
--- a/crates/jb-clock/tests/clock.rs
+++ b/crates/jb-clock/tests/clock.rs
@@ -1,11 +1,11 @@
-//! The clock of a box.
+//! Tests of monotonic time and of suspensions.
 
 use std::time::Duration;
 
 use jb_clock::Clock;
 
 #[test]
-fn clock_never_goes_back_and_counts_what_no_timer_counts() {
+fn clock_is_monotonic_and_includes_suspensions() {
     let clock = Clock::start();
     let before = clock.now();
     assert!(clock.now() >= before);
@@ -16,6 +16,6 @@
 }
 
 #[test]
-fn kernel_of_the_platform_counts_suspensions() {
+fn kernel_clock_includes_suspensions() {
     assert!(Clock::start().counts_suspensions());
 }
