--- a/crates/jb-upstream/src/engine.rs
+++ b/crates/jb-upstream/src/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines: the port and its HTTP adapter.
+//! Client trait for model engines and its HTTP implementation.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -18,51 +18,58 @@
 use crate::head;
 use crate::sse;
 
-/// Time in which a connection must be made.
-const CONNECT: Duration = Duration::from_millis(1000);
-/// Time in which a report or an order must be answered.
-const PATIENCE: Duration = Duration::from_millis(1000);
-/// Idle connections kept for each upstream.
-const IDLE: usize = 64;
+/// Time limit for establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Time limit for the response to a report request or an order.
+const CONTROL_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Maximum number of idle connections kept in the pool for each upstream.
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// Frames of one answer; the stream ends after the first failure.
+/// Frames of one response; the stream ends after the first failure.
 pub type Frames = Pin<Box<dyn Stream<Item = Result<Frame, Failure>> + Send>>;
 
-/// What junctionbend asks of engines.
+/// Operations that junctionbend performs on engines.
 #[async_trait]
 pub trait Engine: Send + Sync {
-    /// Runs a call; `silence` bounds the time without a byte.
-    async fn run(&self, at: SocketAddr, call: &Call, silence: Duration) -> Observed<Result<Frames, Failure>>;
-
-    /// Asks for the load report.
+    /// Runs a call and returns its response frames. Fails with [`Failure::Silent`] when no byte arrives for
+    /// `idle_timeout`.
+    async fn run(
+        &self,
+        at: SocketAddr,
+        call: &Call,
+        idle_timeout: Duration,
+    ) -> Observed<Result<Frames, Failure>>;
+
+    /// Fetches the load report.
     async fn report(&self, at: SocketAddr) -> Result<Report, Failure>;
 
-    /// Gives an order.
+    /// Sends an order and waits until the engine has accepted it.
     async fn order(&self, at: SocketAddr, order: &Order) -> Result<(), Failure>;
 }
 
-/// The HTTP adapter.
+/// Engine client over HTTP.
 #[derive(Clone)]
 pub struct Client {
     http: reqwest::Client,
 }
 
-/// Makes an HTTP client that goes straight to the given address.
+/// Builds an HTTP client that uses no proxy and follows no redirects, so that requests reach exactly the given
+/// address.
 ///
 /// # Errors
-/// When the HTTP library cannot be set up.
+/// If the HTTP library cannot be initialized.
 pub fn http_client() -> Result<reqwest::Client, reqwest::Error> {
     reqwest::Client::builder()
         .no_proxy()
-        .connect_timeout(CONNECT)
-        .pool_max_idle_per_host(IDLE)
+        .connect_timeout(CONNECT_TIMEOUT)
+        .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS)
         .tcp_nodelay(true)
         .redirect(reqwest::redirect::Policy::none())
         .build()
 }
 
 impl Client {
-    /// Wraps an HTTP client.
+    /// Creates an engine client that sends its requests through `http`.
     pub fn new(http: reqwest::Client) -> Self {
         Self { http }
     }
@@ -70,21 +77,26 @@
 
 #[async_trait]
 impl Engine for Client {
-    async fn run(&self, at: SocketAddr, call: &Call, silence: Duration) -> Observed<Result<Frames, Failure>> {
+    async fn run(
+        &self,
+        at: SocketAddr,
+        call: &Call,
+        idle_timeout: Duration,
+    ) -> Observed<Result<Frames, Failure>> {
         let mut request = self.http.post(format!("http://{at}{PATH_RUN}")).json(call);
         if let Some(traceparent) = &call.traceparent {
             request = request.header(header::TRACEPARENT, traceparent);
         }
-        let answer = match timeout(silence, request.send()).await {
+        let answer = match timeout(idle_timeout, request.send()).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(error)) => return Observed::without_head(Err(Failure::from_http(error))),
             Err(_) => return Observed::without_head(Err(Failure::Silent)),
         };
         let signals = head::read(&answer);
         let result = if answer.status().is_success() {
-            Ok(Box::pin(frames(answer, silence)) as Frames)
+            Ok(Box::pin(frames(answer, idle_timeout)) as Frames)
         } else {
-            Err(refused(answer).await)
+            Err(read_refusal(answer).await)
         };
         Observed { signals, result }
     }
@@ -93,7 +105,7 @@
         let request = self
             .http
             .get(format!("http://{at}{PATH_REPORT}"))
-            .timeout(PATIENCE);
+            .timeout(CONTROL_TIMEOUT);
         let answer = request.send().await.map_err(Failure::from_http)?;
         answer
             .json()
@@ -105,25 +117,27 @@
         let request = self
             .http
             .post(format!("http://{at}{PATH_ORDER}"))
-            .timeout(PATIENCE);
+            .timeout(CONTROL_TIMEOUT);
         let answer = request.json(order).send().await.map_err(Failure::from_http)?;
         if answer.status().is_success() {
             return Ok(());
         }
-        Err(refused(answer).await)
+        Err(read_refusal(answer).await)
     }
 }
 
-/// Reads a refusal; only the protocol's own field proves that nothing ran.
-async fn refused(answer: Response) -> Failure {
+/// Parses the body of an error response. Only `not_run` in that body proves that the engine did not run the call; a
+/// status code alone does not.
+async fn read_refusal(answer: Response) -> Failure {
     let status = answer.status();
     match answer.json::<Refusal>().await {
         Ok(refusal) if refusal.not_run => Failure::Denied(Denial::from_upstream(refusal.reason)),
-        _ => Failure::Lost(format!("status {status} without a word on whether it ran")),
+        _ => Failure::Lost(format!("status {status} does not say whether the call ran")),
     }
 }
 
-fn frames(answer: Response, silence: Duration) -> impl Stream<Item = Result<Frame, Failure>> + Send {
+/// Decodes the server-sent events of a response into frames.
+fn frames(answer: Response, idle_timeout: Duration) -> impl Stream<Item = Result<Frame, Failure>> + Send {
     stream! {
         let mut bytes = answer.bytes_stream();
         let mut reader = sse::Reader::default();
@@ -145,14 +159,14 @@
                     return;
                 }
             }
-            match timeout(silence, bytes.next()).await {
+            match timeout(idle_timeout, bytes.next()).await {
                 Ok(Some(Ok(chunk))) => reader.push(&chunk),
                 Ok(Some(Err(error))) => {
                     yield Err(Failure::Lost(error.without_url().to_string()));
                     return;
                 }
                 Ok(None) => {
-                    yield Err(Failure::Lost("the answer stopped without an end".to_owned()));
+                    yield Err(Failure::Lost("response stream closed before its final frame".to_owned()));
                     return;
                 }
                 Err(_) => {
--- a/crates/jb-upstream/src/error.rs
+++ b/crates/jb-upstream/src/error.rs
@@ -1,29 +1,29 @@
-//! How an attempt at an upstream can fail.
+//! Errors of an attempt at an upstream.
 
 use jb_policy::call::Denial;
 
-/// Why an attempt failed before its answer began.
+/// Reason why an attempt at an upstream failed.
 #[derive(Debug)]
 pub enum Failure {
-    /// The upstream hasn't run it, by the protocol's own field.
+    /// The upstream stated through the protocol that it did not run the request.
     Denied(Denial),
-    /// No connection was made, so nothing was sent.
+    /// No connection could be established, so nothing was sent.
     Unreachable(Denial),
-    /// The upstream is lost, or its answer proves nothing; it may have run.
+    /// The connection was lost, or the response does not say whether the request ran; it may have run.
     Lost(String),
-    /// The upstream was silent for too long; it may have run.
+    /// The upstream sent nothing within the time limit; the request may have run.
     Silent,
-    /// The answer broke the protocol; it may have run.
+    /// The response violated the protocol; the request may have run.
     Protocol(String),
 }
 
 impl Failure {
-    /// Sorts an error of the HTTP library. A failure to connect proves that
-    /// nothing was sent; any other proves nothing.
+    /// Classifies an error of the HTTP library. Only a failure to connect proves that nothing was sent; after any
+    /// other error the request may have run.
     pub fn from_http(error: reqwest::Error) -> Self {
         let error = error.without_url();
         if error.is_connect() {
-            Self::Unreachable(Denial::from_upstream(format!("no connection: {error}")))
+            Self::Unreachable(Denial::from_upstream(format!("connection failed: {error}")))
         } else if error.is_timeout() {
             Self::Silent
         } else {
--- a/crates/jb-upstream/src/lib.rs
+++ b/crates/jb-upstream/src/lib.rs
@@ -1,4 +1,4 @@
-//! Engines and plain services as ports, with their HTTP adapters.
+//! Client traits for model engines and plain HTTP services, and their HTTP implementations.
 
 pub mod engine;
 pub mod error;
--- a/crates/jb-upstream/src/plain.rs
+++ b/crates/jb-upstream/src/plain.rs
@@ -1,4 +1,4 @@
-//! Plain services: the port and its HTTP adapter.
+//! Client trait for plain HTTP services and its implementation.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,61 +13,61 @@
 use crate::error::Failure;
 use crate::head;
 
-/// Longest answer that is taken from a plain service.
-const MOST_BYTES: usize = 8 << 20;
+/// Maximum length of a response body accepted from a plain service.
+const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// One call to a plain service.
+/// Request to a plain service.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// HTTP method.
+    /// HTTP method, as the caller sent it.
     pub method: String,
-    /// Path and query below the service's root.
+    /// Path and query relative to the service's root, without a leading slash.
     pub path: String,
-    /// Media type of the body, when the caller named one.
+    /// Media type of the body, if the caller gave one.
     pub content_type: Option<String>,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
-    /// Attempt id, echoed in the answer.
+    /// Id of the attempt, which the service echoes in its response.
     pub attempt: id::Attempt,
-    /// Customer.
+    /// Customer on whose behalf the request is sent.
     pub customer: id::Customer,
-    /// Key under which the caller resends.
+    /// Idempotency key that the caller sends again with each retry.
     pub idempotency_key: Option<String>,
-    /// Trace context.
+    /// W3C trace context (`traceparent`).
     pub traceparent: Option<String>,
 }
 
-/// A whole answer.
+/// Complete response of a plain service.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Media type.
+    /// Media type of the body, if the service gave one.
     pub content_type: Option<String>,
-    /// Body.
+    /// Response body.
     pub body: Bytes,
 }
 
-/// What junctionbend asks of plain services.
+/// Operations that junctionbend performs on plain services.
 #[async_trait]
 pub trait Plain: Send + Sync {
-    /// Makes a call and takes its whole answer.
+    /// Sends a request and returns the complete response, which must arrive within `timeout`.
     async fn call(
         &self,
         at: SocketAddr,
         request: &Request,
-        silence: Duration,
+        timeout: Duration,
     ) -> Observed<Result<Answer, Failure>>;
 }
 
-/// The HTTP adapter.
+/// Plain service client over HTTP.
 #[derive(Clone)]
 pub struct Client {
     http: reqwest::Client,
 }
 
 impl Client {
-    /// Wraps an HTTP client.
+    /// Creates a client that sends its requests through `http`.
     pub fn new(http: reqwest::Client) -> Self {
         Self { http }
     }
@@ -101,24 +101,24 @@
         &self,
         at: SocketAddr,
         request: &Request,
-        silence: Duration,
+        timeout: Duration,
     ) -> Observed<Result<Answer, Failure>> {
         let query = match self.build(at, request) {
-            Ok(query) => query.timeout(silence),
+            Ok(query) => query.timeout(timeout),
             Err(failure) => return Observed::without_head(Err(failure)),
         };
         match query.send().await {
             Ok(answer) => Observed {
                 signals: head::read(&answer),
-                result: take(answer, request).await,
+                result: read_answer(answer, request).await,
             },
             Err(error) => Observed::without_head(Err(Failure::from_http(error))),
         }
     }
 }
 
-/// Takes a whole answer to a request.
-async fn take(answer: Response, request: &Request) -> Result<Answer, Failure> {
+/// Reads the complete response to a request and checks that it belongs to that attempt.
+async fn read_answer(answer: Response, request: &Request) -> Result<Answer, Failure> {
     let text = |name: &str| {
         answer
             .headers()
@@ -128,12 +128,14 @@
     };
     if text(header::NOT_RUN).as_deref() == Some("true") {
         return Err(Failure::Denied(Denial::from_upstream(
-            "the service refused the call",
+            "service refused the request",
         )));
     }
     let echo = text(header::ATTEMPT);
     if echo.is_some_and(|echo| echo != request.attempt) {
-        return Err(Failure::Protocol("an answer to another attempt".to_owned()));
+        return Err(Failure::Protocol(
+            "response carries the id of another attempt".to_owned(),
+        ));
     }
     let status = answer.status().as_u16();
     let content_type = text("content-type");
@@ -141,8 +143,8 @@
         .bytes()
         .await
         .map_err(|e| Failure::Lost(e.without_url().to_string()))?;
-    if body.len() > MOST_BYTES {
-        return Err(Failure::Protocol("the answer is too long".to_owned()));
+    if body.len() > MAX_ANSWER_BYTES {
+        return Err(Failure::Protocol("response body too long".to_owned()));
     }
     Ok(Answer {
         status,
--- a/crates/jb-upstream/src/sse.rs
+++ b/crates/jb-upstream/src/sse.rs
@@ -1,42 +1,42 @@
-//! Reader of server-sent events with a bound on the length of one event.
+//! Parser for server-sent events with a maximum length per line.
 
 use bytes::{Buf as _, BytesMut};
 
-/// Longest event; a longer one breaks the protocol.
-pub const MOST_BYTES: usize = 256 * 1024;
+/// Maximum length of one line of the stream; a longer one is a protocol violation.
+pub const MAX_EVENT_BYTES: usize = 256 * 1024;
 const DATA: &[u8] = b"data:";
 
-/// An event that is too long.
+/// Error for an event longer than [`MAX_EVENT_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("an event is longer than {MOST_BYTES} bytes")]
+#[error("server-sent event exceeds {MAX_EVENT_BYTES} bytes")]
 pub struct TooLong;
 
-/// Splits a byte stream into the data of its events.
+/// Incremental parser that splits a byte stream into the data of its events. Each `data:` line counts as one event.
 #[derive(Debug, Default)]
 pub struct Reader {
     buffer: BytesMut,
 }
 
 impl Reader {
-    /// Adds bytes as they came.
+    /// Appends received bytes, which may end anywhere within an event.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes the data of the next whole event; `None` until more bytes come.
+    /// Removes and returns the data of the next complete event, or `None` if more bytes are needed.
     ///
     /// # Errors
-    /// [`TooLong`] when an event exceeds the bound.
+    /// [`TooLong`] if an event exceeds [`MAX_EVENT_BYTES`].
     pub fn next_event(&mut self) -> Result<Option<Vec<u8>>, TooLong> {
         loop {
             let Some(end) = self.buffer.iter().position(|b| *b == b'\n') else {
-                return if self.buffer.len() > MOST_BYTES {
+                return if self.buffer.len() > MAX_EVENT_BYTES {
                     Err(TooLong)
                 } else {
                     Ok(None)
                 };
             };
-            if end > MOST_BYTES {
+            if end > MAX_EVENT_BYTES {
                 return Err(TooLong);
             }
             let line = self.buffer.split_to(end);
--- a/crates/jb-upstream/tests/sse.rs
+++ b/crates/jb-upstream/tests/sse.rs
@@ -1,11 +1,12 @@
-//! Reader of server-sent events.
+//! Tests of the parser for server-sent events.
 
 #![allow(clippy::expect_used)]
 
-use jb_upstream::sse::{MOST_BYTES, Reader};
+use jb_upstream::sse::{MAX_EVENT_BYTES, Reader};
 
+/// Guards against events lost or corrupted when a network read ends within a line.
 #[test]
-fn events_are_found_however_the_bytes_are_split() {
+fn events_split_across_reads_are_parsed() {
     let bytes = b"data: one\n\n: comment\ndata:two\r\n\n";
     for split in 0..bytes.len() {
         let mut reader = Reader::default();
@@ -20,9 +21,10 @@
     }
 }
 
+/// Guards against unbounded memory use when an upstream never ends a line.
 #[test]
-fn an_event_without_end_is_refused_before_it_fills_the_memory() {
+fn unterminated_event_over_the_limit_is_rejected() {
     let mut reader = Reader::default();
-    reader.push(&vec![b'x'; MOST_BYTES + 1]);
+    reader.push(&vec![b'x'; MAX_EVENT_BYTES + 1]);
     assert!(reader.next_event().is_err());
 }
