--- a/crates/jb-daemon/src/leader.rs
+++ b/crates/jb-daemon/src/leader.rs
@@ -44,7 +44,11 @@
     };
     let requested_at = context.clock.now();
     context.metrics.platform_calls.inc();
-    match context.platform.hold(&leader::lease_name(hall), &hold).await {
+    match context
+        .platform
+        .acquire_lease(&leader::lease_name(hall), &hold)
+        .await
+    {
         Ok(Grant::Held(lease)) => {
             if state.record_grant(&lease, requested_at) {
                 emit!(context.logger, info, event::LEADER_ELECTED, "fence" => lease.fence);
--- a/crates/jb-platform/src/http.rs
+++ b/crates/jb-platform/src/http.rs
@@ -1,4 +1,4 @@
-//! The adapter that speaks the platform's HTTP protocol.
+//! Client for the platform's HTTP protocol.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,26 +11,26 @@
 use crate::error::Error;
 use crate::port::{Grant, Platform, Swap, Value, Version};
 
-/// Time after which a call counts as unanswered.
-const PATIENCE: Duration = Duration::from_millis(1500);
-/// Longest value that the platform holds.
-const MOST_BYTES: usize = 1 << 20;
+/// Time limit for connecting and for each call, in addition to the time that a watch may wait.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Maximum length of a value that the platform stores.
+const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// Client of one platform.
+/// HTTP client of one platform.
 pub struct Client {
     base: String,
     http: reqwest::Client,
 }
 
 impl Client {
-    /// A client of the platform at `address`; it connects when first used.
+    /// Creates a client of the platform at `address`. It connects on the first call.
     ///
     /// # Errors
-    /// When the HTTP library cannot be set up.
+    /// If the HTTP library cannot be initialized.
     pub fn new(address: SocketAddr) -> Result<Self, Error> {
         let http = reqwest::Client::builder()
             .no_proxy()
-            .connect_timeout(PATIENCE)
+            .connect_timeout(REQUEST_TIMEOUT)
             .build()
             .map_err(|e| Error::Refused(e.to_string()))?;
         Ok(Self {
@@ -39,39 +39,42 @@
         })
     }
 
-    async fn send(&self, request: RequestBuilder, patience: Duration) -> Result<Response, Error> {
-        let answer = request.timeout(patience).send().await;
+    async fn send(&self, request: RequestBuilder, timeout: Duration) -> Result<Response, Error> {
+        let answer = request.timeout(timeout).send().await;
         answer.map_err(|e| Error::Unknown(e.without_url().to_string()))
     }
 }
 
-fn version_of(answer: &Response) -> Result<Version, Error> {
+fn read_version(answer: &Response) -> Result<Version, Error> {
     let text = answer
         .headers()
         .get(header::VERSION)
         .and_then(|v| v.to_str().ok());
     let version = text.and_then(|v| v.parse().ok());
-    version.ok_or_else(|| Error::Protocol("no version in the answer".to_owned()))
+    version.ok_or_else(|| Error::Protocol("response has no valid version header".to_owned()))
 }
 
-async fn body_of(answer: Response) -> Result<Vec<u8>, Error> {
-    if answer.content_length().is_some_and(|n| n > MOST_BYTES as u64) {
-        return Err(Error::Protocol("a value over 1 MB".to_owned()));
+async fn read_body(answer: Response) -> Result<Vec<u8>, Error> {
+    if answer
+        .content_length()
+        .is_some_and(|n| n > MAX_VALUE_BYTES as u64)
+    {
+        return Err(Error::Protocol("value exceeds 1 MiB".to_owned()));
     }
     let body = answer.bytes().await;
     let body = body.map_err(|e| Error::Unknown(e.without_url().to_string()))?;
     Ok(body.to_vec())
 }
 
-async fn value_of(answer: Response) -> Result<Value, Error> {
-    let version = version_of(&answer)?;
-    let body = body_of(answer).await?;
+async fn read_value(answer: Response) -> Result<Value, Error> {
+    let version = read_version(&answer)?;
+    let body = read_body(answer).await?;
     Ok(Value { version, body })
 }
 
-/// An answer that is none of those the call expects. A server error leaves
-/// open whether a write took effect; a client error does not.
-fn unexpected(status: StatusCode) -> Error {
+/// Converts a status that the call does not handle. After a server error it is unknown whether a write took effect; after
+/// any other status the write had no effect.
+fn unexpected_status(status: StatusCode) -> Error {
     if status.is_server_error() {
         Error::Unknown(status.to_string())
     } else {
@@ -83,41 +86,41 @@
 impl Platform for Client {
     async fn get(&self, key: &str) -> Result<Option<Value>, Error> {
         let request = self.http.get(format!("{}/kv/{key}", self.base));
-        let answer = self.send(request, PATIENCE).await?;
+        let answer = self.send(request, REQUEST_TIMEOUT).await?;
         match answer.status() {
-            StatusCode::OK => Ok(Some(value_of(answer).await?)),
+            StatusCode::OK => Ok(Some(read_value(answer).await?)),
             StatusCode::NOT_FOUND => Ok(None),
-            status => Err(unexpected(status)),
+            status => Err(unexpected_status(status)),
         }
     }
 
     async fn watch(&self, key: &str, known: Version, wait: Duration) -> Result<Option<Value>, Error> {
         let wait_ms = wait.as_millis();
         let url = format!("{}/kv/{key}?after={known}&wait_ms={wait_ms}", self.base);
-        let answer = self.send(self.http.get(url), wait + PATIENCE).await?;
+        let answer = self.send(self.http.get(url), wait + REQUEST_TIMEOUT).await?;
         match answer.status() {
-            StatusCode::OK => Ok(Some(value_of(answer).await?)),
+            StatusCode::OK => Ok(Some(read_value(answer).await?)),
             StatusCode::NOT_FOUND | StatusCode::NOT_MODIFIED => Ok(None),
-            status => Err(unexpected(status)),
+            status => Err(unexpected_status(status)),
         }
     }
 
     async fn swap(&self, key: &str, expected: Version, body: Vec<u8>) -> Result<Swap, Error> {
         let url = format!("{}/kv/{key}?expected={expected}", self.base);
-        let answer = self.send(self.http.put(url).body(body), PATIENCE).await?;
+        let answer = self.send(self.http.put(url).body(body), REQUEST_TIMEOUT).await?;
         match answer.status() {
-            StatusCode::OK => Ok(Swap::Written(version_of(&answer)?)),
+            StatusCode::OK => Ok(Swap::Written(read_version(&answer)?)),
             StatusCode::PRECONDITION_FAILED => Ok(Swap::Conflict),
-            status => Err(unexpected(status)),
+            status => Err(unexpected_status(status)),
         }
     }
 
-    async fn hold(&self, lease: &str, hold: &Hold) -> Result<Grant, Error> {
+    async fn acquire_lease(&self, lease: &str, hold: &Hold) -> Result<Grant, Error> {
         let request = self.http.post(format!("{}/lease/{lease}", self.base)).json(hold);
-        let answer = self.send(request, PATIENCE).await?;
+        let answer = self.send(request, REQUEST_TIMEOUT).await?;
         let status = answer.status();
         if !matches!(status, StatusCode::OK | StatusCode::CONFLICT) {
-            return Err(unexpected(status));
+            return Err(unexpected_status(status));
         }
         let lease: Lease = answer
             .json()
@@ -132,10 +135,10 @@
 
     async fn list(&self) -> Result<Vec<Entry>, Error> {
         let answer = self
-            .send(self.http.get(format!("{}/boxes", self.base)), PATIENCE)
+            .send(self.http.get(format!("{}/boxes", self.base)), REQUEST_TIMEOUT)
             .await?;
         if answer.status() != StatusCode::OK {
-            return Err(unexpected(answer.status()));
+            return Err(unexpected_status(answer.status()));
         }
         answer
             .json()
--- a/crates/jb-platform/src/lib.rs
+++ b/crates/jb-platform/src/lib.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service as a port, with its HTTP adapter.
+//! Client trait for the platform's key-value service, and its HTTP implementation.
 
 pub mod error;
 pub mod http;
--- a/crates/jb-platform/src/port.rs
+++ b/crates/jb-platform/src/port.rs
@@ -1,4 +1,4 @@
-//! The port: what junctionbend asks of the platform.
+//! The client trait and its result types.
 
 use std::time::Duration;
 
@@ -7,52 +7,52 @@
 
 use crate::error::Error;
 
-/// Version of a value; 0 stands for a key without a value.
+/// Version of a value; 0 means that the key has no value.
 pub type Version = u64;
 
-/// A value with its version.
+/// Stored value with its version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Value {
-    /// Version, above 0.
+    /// Version, always greater than 0.
     pub version: Version,
-    /// The value.
+    /// Content of the value.
     pub body: Vec<u8>,
 }
 
-/// Answer to a compare-and-swap.
+/// Result of a compare-and-swap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Swap {
-    /// Written; the new version.
+    /// The value was written and now has this version.
     Written(Version),
-    /// The value has another version.
+    /// The stored value has a version other than the expected one; nothing was written.
     Conflict,
 }
 
-/// Answer to a request for a lease.
+/// Result of a request for a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Grant {
-    /// The asker holds it.
+    /// The requester holds the lease.
     Held(Lease),
-    /// Somebody else holds it.
+    /// Another holder has the lease.
     Taken(Lease),
 }
 
-/// The platform's service: compare-and-swap, watches, leases, box list.
+/// Operations of the platform's service: compare-and-swap, watches, leases and the list of boxes.
 #[async_trait]
 pub trait Platform: Send + Sync {
-    /// Reads a value; `None` where there is none.
+    /// Reads a value; `None` if the key has none.
     async fn get(&self, key: &str) -> Result<Option<Value>, Error>;
 
-    /// Waits until the value has a version other than `known`, at most `wait`.
-    /// `None` when nothing has changed.
+    /// Waits for at most `wait` until the value has a version other than `known`, and returns the value. Returns `None`
+    /// if it has not changed or the key has no value.
     async fn watch(&self, key: &str, known: Version, wait: Duration) -> Result<Option<Value>, Error>;
 
-    /// Writes a value if its version is still `expected`.
+    /// Writes a value if its stored version equals `expected`.
     async fn swap(&self, key: &str, expected: Version, body: Vec<u8>) -> Result<Swap, Error>;
 
-    /// Takes or renews a lease.
-    async fn hold(&self, lease: &str, hold: &Hold) -> Result<Grant, Error>;
+    /// Acquires or renews a lease.
+    async fn acquire_lease(&self, lease: &str, hold: &Hold) -> Result<Grant, Error>;
 
-    /// Reads the box list; it lags.
+    /// Reads the list of boxes, which may be out of date.
     async fn list(&self) -> Result<Vec<Entry>, Error>;
 }
