--- a/crates/jb-cli/src/client.rs
+++ b/crates/jb-cli/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP client of a box's admin port.
+//! HTTP client for the administration API of a box.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 
 use crate::error::Error;
 
-/// Time in which a box must answer; an edit waits for the platform.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Time limit for a request. It is long because the box answers an edit only after the platform has stored it.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Client of one box.
+/// HTTP client of one box.
 pub struct Client {
     http: reqwest::Client,
     address: String,
@@ -19,22 +19,25 @@
 }
 
 impl Client {
-    /// A client of the box at `address`.
+    /// Creates a client of the box at `address` that authenticates with `key`, if given.
     ///
     /// # Errors
-    /// When the HTTP library cannot be set up.
+    /// If the HTTP library cannot be initialized.
     pub fn new(address: &str, key: Option<String>) -> Result<Self, Error> {
-        let http = reqwest::Client::builder().no_proxy().timeout(PATIENCE).build();
+        let http = reqwest::Client::builder()
+            .no_proxy()
+            .timeout(REQUEST_TIMEOUT)
+            .build();
         Ok(Self {
-            http: http.map_err(|e| unreachable_at(address, &e))?,
+            http: http.map_err(|e| connection_error(address, &e))?,
             address: address.to_owned(),
             key,
         })
     }
 
-    /// A client of another box with the same key.
+    /// Returns a client of the box at `address` that uses the same key.
     #[must_use]
-    pub fn at(&self, address: &str) -> Self {
+    pub fn with_address(&self, address: &str) -> Self {
         Self {
             http: self.http.clone(),
             address: address.to_owned(),
@@ -42,19 +45,19 @@
         }
     }
 
-    /// Reads from the box.
+    /// Sends a GET request and decodes the JSON response.
     ///
     /// # Errors
-    /// When it does not answer, or refuses.
+    /// If the box cannot be reached, rejects the request or sends an invalid response.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
         let request = self.http.get(format!("http://{}{path}", self.address));
         self.send(request).await
     }
 
-    /// Sends to the box.
+    /// Sends a POST request with a JSON body and decodes the JSON response.
     ///
     /// # Errors
-    /// When it does not answer, or refuses.
+    /// If the box cannot be reached, rejects the request or sends an invalid response.
     pub async fn post<B: Serialize, T: DeserializeOwned>(&self, path: &str, body: &B) -> Result<T, Error> {
         let request = self
             .http
@@ -71,21 +74,21 @@
         let answer = request
             .send()
             .await
-            .map_err(|e| unreachable_at(&self.address, &e))?;
-        let good = answer.status().is_success();
-        let unreadable = |e: reqwest::Error| Error::Answer {
+            .map_err(|e| connection_error(&self.address, &e))?;
+        let is_success = answer.status().is_success();
+        let invalid_response = |e: reqwest::Error| Error::Answer {
             address: self.address.clone(),
             message: e.without_url().to_string(),
         };
-        if good {
-            return answer.json().await.map_err(unreadable);
+        if is_success {
+            return answer.json().await.map_err(invalid_response);
         }
-        let document: Document = answer.json().await.map_err(unreadable)?;
+        let document: Document = answer.json().await.map_err(invalid_response)?;
         Err(Error::Refused(Box::new(document)))
     }
 }
 
-fn unreachable_at(address: &str, error: &reqwest::Error) -> Error {
+fn connection_error(address: &str, error: &reqwest::Error) -> Error {
     Error::Unreachable {
         address: address.to_owned(),
         message: error.to_string(),
--- a/crates/jb-cli/src/command/edit.rs
+++ b/crates/jb-cli/src/command/edit.rs
@@ -1,4 +1,4 @@
-//! Sends an edit and waits until it is in force.
+//! Sends an edit to a box and waits until it is in force on every live box.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -10,35 +10,36 @@
 use crate::error::Error;
 use crate::show;
 
-/// Pause between two looks at the boxes.
-const LOOK: Duration = Duration::from_millis(200);
+/// Interval between two polls of the boxes.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How an edit is sent.
+/// Options for sending an edit.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// Id of an edit that is sent again.
+    /// Id of an earlier edit, to send the same edit again; a new id if absent.
     pub id: Option<String>,
-    /// Seconds to wait until it is in force everywhere.
+    /// Seconds to wait until the edit is in force on every live box; no wait if absent.
     pub wait_s: Option<u64>,
 }
 
-/// The tree in force at the box asked.
+/// Fetches the tree in force on the box.
 pub async fn tree(context: &Context) -> Result<Shown, Error> {
     context.client.get("/admin/tree").await
 }
 
-/// Sends an edit, and waits for it if asked to.
+/// Sends an edit and, if `options` say so, waits until it is in force.
 pub async fn send(context: &Context, changes: Vec<Change>, options: &Options) -> Result<(), Error> {
     if changes.is_empty() {
         println!("nothing to change");
         return Ok(());
     }
     let edit = Edit {
-        id: options.id.clone().unwrap_or_else(draw_id),
+        id: options.id.clone().unwrap_or_else(generate_id),
         author: std::env::var("USER").unwrap_or_else(|_| "operator".to_owned()),
         changes,
     };
-    // Printed first: with it the same edit can be sent again, once.
+    // The id is printed before the request, so that the edit can be sent again under the same id if the response is lost;
+    // it is then applied only once.
     eprintln!("edit {}", edit.id);
     let accepted: Accepted = context.client.post("/admin/edit", &edit).await?;
     if context.json {
@@ -52,11 +53,11 @@
     }
 }
 
-/// Waits until every live box has a revision in force.
+/// Waits until every live box has a revision in force, for at most `limit`.
 async fn wait(context: &Context, revision: u64, limit: Duration) -> Result<(), Error> {
     let until = Instant::now() + limit;
     loop {
-        let missing = missing(context, revision).await?;
+        let missing = lagging_boxes(context, revision).await?;
         if missing.is_empty() {
             println!("in force everywhere");
             return Ok(());
@@ -64,31 +65,32 @@
         if Instant::now() > until {
             return Err(Error::Waiting { revision, missing });
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Asks each live box itself; what others know of it may lag.
-async fn missing(context: &Context, revision: u64) -> Result<Vec<String>, Error> {
+/// Returns the ids of the live boxes with an older revision. Asks each box itself, because the revisions that one box
+/// reports for the others may be out of date; a box that does not answer counts with the reported revision.
+async fn lagging_boxes(context: &Context, revision: u64) -> Result<Vec<String>, Error> {
     let status: Status = context.client.get("/admin/status").await?;
     let mut missing = Vec::new();
     if status.me.revision < revision {
         missing.push(status.me.id);
     }
     for member in status.boxes {
-        let its: Result<Status, Error> = context
+        let own_status: Result<Status, Error> = context
             .client
-            .at(&member.admin_address)
+            .with_address(&member.admin_address)
             .get("/admin/status")
             .await;
-        if its.map_or(member.revision, |s| s.me.revision) < revision {
+        if own_status.map_or(member.revision, |s| s.me.revision) < revision {
             missing.push(member.id);
         }
     }
     Ok(missing)
 }
 
-fn draw_id() -> String {
+fn generate_id() -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     format!("{:x}-{:x}", now.as_nanos(), std::process::id())
 }
--- a/crates/jb-cli/src/command/explain.rs
+++ b/crates/jb-cli/src/command/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: where a request would go, and why.
+//! `explain`: shows where a request would be routed and why.
 
 use argh::FromArgs;
 use jb_protocol::admin::{Candidate, Explanation, LeftOut, Question};
@@ -7,17 +7,17 @@
 use crate::error::Error;
 use crate::show;
 
-/// Tell where a request would go and why, without running it.
+/// Show where a request would be routed and why, without running it.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub struct Explain {
-    /// customer
+    /// customer that sends the request
     #[argh(option)]
     customer: String,
-    /// route, as callers name it in `model`
+    /// name of the route, as callers give it in `model`
     #[argh(option)]
     route: String,
-    /// levels of the prompt, the outermost first, `role: text` each
+    /// levels of the prompt, outermost first, each as `role: text`
     #[argh(positional)]
     levels: Vec<String>,
 }
@@ -39,7 +39,7 @@
         return Ok(());
     }
     println!(
-        "service {}, hall {}, {} tokens, family of {} tokens at point {}",
+        "service {}, hall {}, {} tokens, prefix family of {} tokens at migration point {}",
         explanation.service,
         explanation.hall,
         explanation.prompt_tokens,
@@ -63,13 +63,13 @@
     let rows: Vec<Vec<String>> = weighing.candidates.iter().map(row).collect();
     show::table(&["upstream", "wait ms", "cached", "cost ms"], &rows);
     if !weighing.left_out.is_empty() {
-        let rows: Vec<Vec<String>> = weighing.left_out.iter().map(left_out).collect();
-        show::table(&["left out", "as it", "for ms"], &rows);
+        let rows: Vec<Vec<String>> = weighing.left_out.iter().map(excluded_row).collect();
+        show::table(&["excluded", "reason", "for ms"], &rows);
     }
     Ok(())
 }
 
-fn left_out(left: &LeftOut) -> Vec<String> {
+fn excluded_row(left: &LeftOut) -> Vec<String> {
     vec![
         left.upstream.clone(),
         left.obstacle.text().to_owned(),
--- a/crates/jb-cli/src/command/migrate.rs
+++ b/crates/jb-cli/src/command/migrate.rs
@@ -9,24 +9,24 @@
 use crate::error::Error;
 
 /// Move a share of a route's prefix families to another hall. The share is
-/// a named gate: asking for the same one twice changes nothing, and moving
-/// back is asking for a smaller one.
+/// absolute: giving the same one twice changes nothing, and a smaller one
+/// moves families back.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "migrate")]
 pub struct Migrate {
     /// path of the route
     #[argh(positional)]
     route: String,
-    /// hall to move to
+    /// hall that receives the share
     #[argh(option)]
     to: String,
-    /// share to reach, in percent
+    /// share of the families to move in total, in percent
     #[argh(option)]
     share: u32,
-    /// hall to move from, where the route names none yet
+    /// hall to move from, if the route does not set one yet
     #[argh(option)]
     home: Option<String>,
-    /// seconds to wait until it is in force everywhere
+    /// seconds to wait until the edit is in force on every live box
     #[argh(option)]
     wait: Option<u64>,
 }
--- a/crates/jb-cli/src/command/mod.rs
+++ b/crates/jb-cli/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The commands.
+//! Commands and their arguments.
 
 mod check;
 mod drain;
@@ -14,18 +14,18 @@
 use crate::client::Client;
 use crate::error::Error;
 
-/// Variable that names the box to ask.
+/// Environment variable with the administration address of the box.
 const BOX_VARIABLE: &str = "JUNCTIONBEND_BOX";
-/// Variable that holds the operators' key.
+/// Environment variable with the operators' key.
 const KEY_VARIABLE: &str = "JUNCTIONBEND_KEY";
 
-/// Operates junctionbend by editing its tree of settings.
+/// Operates junctionbend by reading and editing its tree of settings.
 ///
-/// Exit codes: 0 done, 2 wrong input, 3 no box answers, 4 refused,
+/// Exit codes: 0 success, 2 invalid input, 3 box unreachable, 4 rejected,
 /// 5 conflict with another edit, 6 accepted but not in force everywhere.
 #[derive(FromArgs)]
 pub struct Arguments {
-    /// admin address of any box; JUNCTIONBEND_BOX when left out
+    /// administration address of any box; default: JUNCTIONBEND_BOX
     #[argh(option, long = "box")]
     address: Option<String>,
     /// print JSON
@@ -47,7 +47,7 @@
     Tree(tree::Tree),
 }
 
-/// What every command is given.
+/// Values that every command receives.
 pub struct Context {
     client: Client,
     json: bool,
@@ -56,7 +56,7 @@
 /// Runs a command.
 ///
 /// # Errors
-/// Why it failed.
+/// If the arguments are invalid, or the box cannot be reached or rejects the request.
 pub fn run(arguments: Arguments) -> Result<(), Error> {
     if let Command::Check(check) = &arguments.command {
         return check::run(check);
@@ -66,7 +66,7 @@
     }
     let address = arguments.address.or_else(|| std::env::var(BOX_VARIABLE).ok());
     let address = address.ok_or_else(|| Error::Input {
-        what: format!("no box is named: give --box ADDRESS or set {BOX_VARIABLE}"),
+        what: format!("no box given: use --box ADDRESS or set {BOX_VARIABLE}"),
     })?;
     let context = Context {
         client: Client::new(&address, std::env::var(KEY_VARIABLE).ok())?,
--- a/crates/jb-cli/src/command/status.rs
+++ b/crates/jb-cli/src/command/status.rs
@@ -1,4 +1,4 @@
-//! `status`: boxes, revisions and services.
+//! `status`: shows boxes, revisions and services.
 
 use argh::FromArgs;
 use jb_protocol::admin::{BoxStatus, ServiceStatus, Status as Answer};
@@ -7,7 +7,7 @@
 use crate::error::Error;
 use crate::show;
 
-/// Show the boxes, the revision that each has in force, and the services.
+/// Show the boxes, the revision in force on each, and the services.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct Status {}
--- a/crates/jb-cli/src/command/trace.rs
+++ b/crates/jb-cli/src/command/trace.rs
@@ -1,20 +1,20 @@
-//! `trace`: one request's story from the logs of the boxes.
+//! `trace`: shows the timeline of a request from the logs of the boxes.
 
 use std::io::Read as _;
 
 use argh::FromArgs;
 
 use crate::error::Error;
-use crate::story;
+use crate::timeline;
 
-/// Tell one request's story from the logs of one or several boxes.
+/// Show the timeline of a request from the logs of one or more boxes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "trace")]
 pub struct Trace {
     /// id of the request
     #[argh(positional)]
     request: String,
-    /// log files; standard input when none is given
+    /// log files; default: standard input
     #[argh(positional)]
     files: Vec<String>,
 }
@@ -26,14 +26,15 @@
     } else {
         read(&arguments.files)?
     };
-    let story = story::trace(&arguments.request, &logs).ok_or_else(|| Error::Input {
-        what: format!("no line of the logs names the request {}", arguments.request),
+    let timeline = timeline::trace(&arguments.request, &logs).ok_or_else(|| Error::Input {
+        what: format!("the logs contain no line of request {}", arguments.request),
     })?;
     if json {
-        let text = serde_json::to_string_pretty(&story).map_err(|e| Error::Input { what: e.to_string() })?;
+        let text =
+            serde_json::to_string_pretty(&timeline).map_err(|e| Error::Input { what: e.to_string() })?;
         println!("{text}");
     } else {
-        println!("{story}");
+        println!("{timeline}");
     }
     Ok(())
 }
--- a/crates/jb-cli/src/command/tree/export.rs
+++ b/crates/jb-cli/src/command/tree/export.rs
@@ -1,4 +1,4 @@
-//! `tree export`: the tree as a document.
+//! `tree export`: prints the tree as a document.
 
 use argh::FromArgs;
 use jb_tree::document;
@@ -6,7 +6,7 @@
 use crate::command::{Context, edit};
 use crate::error::Error;
 
-/// Begins the line by which `import` knows what the document was made from.
+/// Start of the comment line that tells `import` from which revision the document was exported.
 pub const REVISION_LINE: &str = "# revision ";
 
 /// Print the tree in force as a TOML document.
--- a/crates/jb-cli/src/command/tree/get.rs
+++ b/crates/jb-cli/src/command/tree/get.rs
@@ -1,4 +1,4 @@
-//! `tree get`: one effective setting.
+//! `tree get`: prints one effective setting.
 
 use argh::FromArgs;
 use jb_tree::path::Path;
@@ -7,7 +7,7 @@
 use crate::error::Error;
 use crate::show;
 
-/// Print a setting as it is in force at a node, and the node that sets it.
+/// Print the effective value of a setting at a node, and the node that sets it.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "get")]
 pub struct Get {
@@ -23,7 +23,7 @@
 pub async fn run(context: &Context, arguments: &Get) -> Result<(), Error> {
     let path: Path = arguments.path.parse()?;
     let current = edit::tree(context).await?;
-    // Reading it once refuses a name that no setting has.
+    // Returns an error for an unknown setting, which the origins alone would show as not set.
     current.tree.effective(&path).get(&path, &arguments.key)?;
     let origins = current.tree.origins(&path);
     match origins.iter().find(|origin| origin.key == arguments.key) {
--- a/crates/jb-cli/src/command/tree/history.rs
+++ b/crates/jb-cli/src/command/tree/history.rs
@@ -1,4 +1,4 @@
-//! `tree history`: the newest edits.
+//! `tree history`: lists the latest edits.
 
 use argh::FromArgs;
 
@@ -6,7 +6,7 @@
 use crate::error::Error;
 use crate::show;
 
-/// Print the ids of the newest edits with their revisions, the newest last.
+/// Print the ids of the latest edits with their revisions, newest last.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "history")]
 pub struct History {}
--- a/crates/jb-cli/src/command/tree/import.rs
+++ b/crates/jb-cli/src/command/tree/import.rs
@@ -1,4 +1,4 @@
-//! `tree import`: makes a document the tree.
+//! `tree import`: replaces the tree with a document.
 
 use argh::FromArgs;
 use jb_tree::check::check;
@@ -9,17 +9,17 @@
 use crate::command::{Context, check, edit};
 use crate::error::Error;
 
-/// Make a TOML document the tree, in one edit.
+/// Replace the tree with a TOML document, in one edit.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "import")]
 pub struct Import {
-    /// the document
+    /// path of the document
     #[argh(positional)]
     file: String,
-    /// id of an edit that is sent again
+    /// id of an earlier edit, to send the same edit again
     #[argh(option)]
     id: Option<String>,
-    /// seconds to wait until it is in force everywhere
+    /// seconds to wait until the edit is in force on every live box
     #[argh(option)]
     wait: Option<u64>,
 }
@@ -37,8 +37,7 @@
     edit::send(context, between(&current.tree, &wanted)?, &options).await
 }
 
-/// Refuses a document that was exported before the newest edit: importing it
-/// would take that edit back.
+/// Rejects a document that was exported before the latest edit, because importing it would revert that edit.
 fn check_base(file: &str, current: u64) -> Result<(), Error> {
     let text = std::fs::read_to_string(file).unwrap_or_default();
     let base = text
@@ -47,7 +46,7 @@
     match base {
         Some(base) if base != current => Err(Error::Input {
             what: format!(
-                "{file} was exported at revision {base}, and the tree is at {current} now; export it again"
+                "{file} was exported at revision {base}, but the tree is now at revision {current}; export it again"
             ),
         }),
         _ => Ok(()),
--- a/crates/jb-cli/src/command/tree/mod.rs
+++ b/crates/jb-cli/src/command/tree/mod.rs
@@ -1,4 +1,4 @@
-//! `tree`: reads and edits the tree of settings.
+//! `tree`: commands that read and edit the tree of settings.
 
 mod export;
 mod get;
--- a/crates/jb-cli/src/command/tree/set.rs
+++ b/crates/jb-cli/src/command/tree/set.rs
@@ -1,4 +1,4 @@
-//! `tree set`: sets one setting.
+//! `tree set`: sets one setting of a node.
 
 use argh::FromArgs;
 use jb_tree::edit::Change;
@@ -8,7 +8,7 @@
 use crate::command::{Context, edit};
 use crate::error::Error;
 
-/// Set one setting of a node. The value is JSON, or a plain word.
+/// Set one setting of a node. A value that is not valid JSON is taken as a string.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "set")]
 pub struct Set {
@@ -18,21 +18,21 @@
     /// name of the setting
     #[argh(positional)]
     key: String,
-    /// value
+    /// new value
     #[argh(positional)]
     value: String,
-    /// id of an edit that is sent again
+    /// id of an earlier edit, to send the same edit again
     #[argh(option)]
     id: Option<String>,
-    /// seconds to wait until it is in force everywhere
+    /// seconds to wait until the edit is in force on every live box
     #[argh(option)]
     wait: Option<u64>,
 }
 
 /// Runs the command.
 pub async fn run(context: &Context, arguments: &Set) -> Result<(), Error> {
-    let word = || Value::String(arguments.value.clone());
-    let value = serde_json::from_str(&arguments.value).unwrap_or_else(|_| word());
+    let string = || Value::String(arguments.value.clone());
+    let value = serde_json::from_str(&arguments.value).unwrap_or_else(|_| string());
     let options = Options {
         id: arguments.id.clone(),
         wait_s: arguments.wait,
@@ -40,7 +40,7 @@
     change(context, &arguments.path, &arguments.key, Some(value), &options).await
 }
 
-/// Changes one setting from the value that is in force.
+/// Sends an edit that changes one setting, based on the value in force; `None` unsets it.
 pub async fn change(
     context: &Context,
     path: &str,
@@ -52,7 +52,7 @@
     let current = edit::tree(context).await?;
     let mut settings = current.tree.node(&path).cloned().unwrap_or_default();
     let from = settings.get(&path, key)?;
-    // Refuses a value of the wrong type before any box is asked.
+    // Rejects a value of the wrong type before the edit is sent.
     settings.set(&path, key, to.clone())?;
     let change = Change {
         path,
--- a/crates/jb-cli/src/command/tree/show.rs
+++ b/crates/jb-cli/src/command/tree/show.rs
@@ -1,4 +1,4 @@
-//! `tree show`: effective settings with their origins.
+//! `tree show`: prints the effective settings of a node with their origins.
 
 use argh::FromArgs;
 use jb_tree::path::Path;
@@ -7,7 +7,7 @@
 use crate::error::Error;
 use crate::show;
 
-/// Show every setting in force at a node and the node that sets it; without
+/// Show every effective setting of a node and the node that sets it. Without
 /// a path, list the nodes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "show")]
--- a/crates/jb-cli/src/command/tree/unset.rs
+++ b/crates/jb-cli/src/command/tree/unset.rs
@@ -1,4 +1,4 @@
-//! `tree unset`: lets a node inherit a setting again.
+//! `tree unset`: removes a setting from a node.
 
 use argh::FromArgs;
 
@@ -7,8 +7,8 @@
 use crate::command::edit::Options;
 use crate::error::Error;
 
-/// Unset one setting of a node, which then inherits it. A node that sets
-/// nothing any more is removed.
+/// Remove one setting from a node, which then inherits it. A node without
+/// any setting of its own is removed.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "unset")]
 pub struct Unset {
@@ -18,10 +18,10 @@
     /// name of the setting
     #[argh(positional)]
     key: String,
-    /// id of an edit that is sent again
+    /// id of an earlier edit, to send the same edit again
     #[argh(option)]
     id: Option<String>,
-    /// seconds to wait until it is in force everywhere
+    /// seconds to wait until the edit is in force on every live box
     #[argh(option)]
     wait: Option<u64>,
 }
--- a/crates/jb-cli/src/error.rs
+++ b/crates/jb-cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the client, and its exit codes.
+//! Errors of the command line and their exit codes.
 
 use std::process::ExitCode;
 
@@ -7,84 +7,89 @@
 use miette::Diagnostic;
 use thiserror::Error as ThisError;
 
-/// The input was wrong: a file, a path, a value.
+/// Exit code for invalid input: a file, a path or a value.
 pub const EXIT_INPUT: u8 = 2;
-/// No box answered.
+/// Exit code when the box cannot be reached.
 pub const EXIT_UNREACHABLE: u8 = 3;
-/// The box refused.
+/// Exit code when the box rejected the request or sent an invalid response.
 pub const EXIT_REFUSED: u8 = 4;
-/// Another operator's edit conflicts.
+/// Exit code when an edit conflicts with that of another operator.
 pub const EXIT_CONFLICT: u8 = 5;
-/// The edit was accepted but is not in force everywhere yet.
+/// Exit code when an edit was accepted but is not in force on every box within the time to wait.
 pub const EXIT_WAITING: u8 = 6;
 
-/// Why a command failed.
+/// Reason why a command failed.
 #[derive(Debug, ThisError, Diagnostic)]
 pub enum Error {
-    /// The tree or the edit is wrong.
+    /// The tree, an edit or a path is invalid.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Tree(#[from] jb_tree::Error),
-    /// A platform's settings file is wrong.
+    /// A settings file of the platform is invalid.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Site(#[from] jb_site::SettingsError),
     /// A file cannot be read or written.
-    #[error("{path} cannot be used: {message}")]
+    #[error("cannot access {path}: {message}")]
     #[diagnostic(code(client::file), help("check the path and its permissions"))]
     File {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Message of the system.
+        /// Error message of the operating system.
         message: String,
     },
-    /// The box does not answer.
-    #[error("no answer from {address}: {message}")]
+    /// The box cannot be reached.
+    #[error("cannot reach the box at {address}: {message}")]
     #[diagnostic(
         code(client::unreachable),
         help("give the admin address of a running box with --box, or in JUNCTIONBEND_BOX")
     )]
     Unreachable {
-        /// The address.
+        /// Address of the box.
         address: String,
-        /// What happened.
+        /// Error message of the HTTP library.
         message: String,
     },
-    /// The box refused.
+    /// The box rejected the request.
     #[error("{}: {}", .0.title, .0.detail)]
     #[diagnostic(code(client::refused), help("{}", .0.help))]
     Refused(Box<Document>),
-    /// Not every box has the revision in force.
-    #[error("revision {revision} is not in force at {}", missing.join(", "))]
+    /// Some boxes do not have the revision in force yet.
+    #[error("revision {revision} is not yet in force on {}", missing.join(", "))]
     #[diagnostic(
         code(client::waiting),
-        help("the boxes follow by themselves; `junctionbend status` shows how far they are")
+        help(
+            "the boxes apply the revision without further action; `junctionbend status` shows their progress"
+        )
     )]
     Waiting {
-        /// The revision.
+        /// Revision of the accepted edit.
         revision: u64,
-        /// Boxes without it.
+        /// Ids of the boxes with an older revision.
         missing: Vec<String>,
     },
-    /// The answer cannot be read.
-    #[error("the answer of {address} cannot be read: {message}")]
-    #[diagnostic(code(client::answer), help("use a client of the same version as the box"))]
+    /// The response of the box cannot be decoded.
+    #[error("invalid response from {address}: {message}")]
+    #[diagnostic(
+        code(client::answer),
+        help("use a `junctionbend` binary of the same version as the box")
+    )]
     Answer {
-        /// The address.
+        /// Address of the box.
         address: String,
-        /// What is wrong with it.
+        /// Error message of the decoder.
         message: String,
     },
-    /// A value is neither JSON nor a plain word.
+    /// The arguments or the input are invalid.
     #[error("{what}")]
     #[diagnostic(code(client::input), help("see --help"))]
     Input {
-        /// What is wrong.
+        /// Description of the problem.
         what: String,
     },
 }
 
-/// The exit code of a failure.
+/// Returns the exit code for an error.
 pub fn exit_code(error: &Error) -> ExitCode {
     let code = match error {
         Error::Unreachable { .. } => EXIT_UNREACHABLE,
--- a/crates/jb-cli/src/lib.rs
+++ b/crates/jb-cli/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' client: one command per file.
+//! Command line for operators; each command has its own module.
 
 pub mod client;
 pub mod command;
 pub mod error;
 pub mod show;
-pub mod story;
+pub mod timeline;
--- a/crates/jb-cli/src/main.rs
+++ b/crates/jb-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `junctionbend`: the operators' client.
+//! `junctionbend`: the command line for operators.
 
 use std::process::ExitCode;
 
--- a/crates/jb-cli/src/show.rs
+++ b/crates/jb-cli/src/show.rs
@@ -1,28 +1,28 @@
-//! Tables for people, JSON for programs.
+//! Output as tables for people and as JSON for programs.
 
 use serde::Serialize;
 
-/// Prints a value as JSON.
+/// Prints a value as indented JSON.
 pub fn json<T: Serialize>(value: &T) {
     if let Ok(text) = serde_json::to_string_pretty(value) {
         println!("{text}");
     }
 }
 
-/// Prints rows under a head, each column as wide as its widest cell.
-pub fn table(head: &[&str], rows: &[Vec<String>]) {
+/// Prints rows below a header row, with each column as wide as its widest cell.
+pub fn table(header: &[&str], rows: &[Vec<String>]) {
     let width = |column: usize| {
         let cells = rows.iter().filter_map(|row| row.get(column)).map(String::len);
-        cells.chain([head[column].len()]).max().unwrap_or(0)
+        cells.chain([header[column].len()]).max().unwrap_or(0)
     };
-    let widths: Vec<usize> = (0..head.len()).map(width).collect();
-    line(head.iter().copied(), &widths);
+    let widths: Vec<usize> = (0..header.len()).map(width).collect();
+    print_row(header.iter().copied(), &widths);
     for row in rows {
-        line(row.iter().map(String::as_str), &widths);
+        print_row(row.iter().map(String::as_str), &widths);
     }
 }
 
-fn line<'c>(cells: impl Iterator<Item = &'c str>, widths: &[usize]) {
+fn print_row<'c>(cells: impl Iterator<Item = &'c str>, widths: &[usize]) {
     let cells: Vec<String> = cells
         .zip(widths)
         .map(|(cell, width)| format!("{cell:<width$}"))
