--- a/crates/jb-wire/src/lib.rs
+++ b/crates/jb-wire/src/lib.rs
@@ -1,12 +1,12 @@
-//! Messages between the boxes of junctionbend, over gRPC.
+//! gRPC messages and services that the boxes of junctionbend use among themselves.
 //!
-//! The code under `generated` is made from `proto/peer.proto` by
-//! `tools/wiregen` and committed, so that the build needs no generator.
+//! `tools/wiregen` generates the code under `generated` from `proto/peer.proto`. The generated code is committed so
+//! that a build does not need the generator.
 
 #[allow(missing_docs, clippy::all, clippy::pedantic)]
 #[rustfmt::skip]
 #[path = "generated/junctionbend.peer.v1.rs"]
 pub mod peer;
 
-/// Version of the protocol; a box refuses messages of any other.
+/// Protocol version. A box rejects messages with any other version.
 pub const VERSION: u32 = 1;
