--- a/crates/jb-relay/src/peers/broadcast.rs
+++ b/crates/jb-relay/src/peers/broadcast.rs
@@ -125,7 +125,7 @@
     (
         forwarders.iter().map(|(_, peer)| peer.address).collect(),
         rest.iter()
-            .map(|(_, peer)| rendezvous::short_hash(peer.name))
+            .map(|(_, peer)| rendezvous::short_hash(peer.name_hash))
             .collect(),
     )
 }
--- a/crates/jb-relay/src/peers/directory.rs
+++ b/crates/jb-relay/src/peers/directory.rs
@@ -29,7 +29,7 @@
     /// Data hall of the box.
     pub hall: id::Hall,
     /// Hash of its id.
-    pub name: u64,
+    pub name_hash: u64,
     /// Bandwidth of its link, in Mbit/s; 0 if unknown.
     pub link_mbps: u32,
 }
@@ -41,7 +41,7 @@
 fn rank(role: u64, peer: &Peer) -> Rank {
     (
         peer.link_mbps.checked_ilog2(),
-        rendezvous::weight(role, peer.name),
+        rendezvous::weight(role, peer.name_hash),
     )
 }
 
@@ -68,7 +68,7 @@
     pub fn replace(&mut self, peers: BTreeMap<id::Box, Peer>) {
         self.silent.retain(|id, _| peers.contains_key(id));
         self.addresses = peers.values().map(|peer| peer.address).collect();
-        let by_short_name = |peer: &Peer| (rendezvous::short_hash(peer.name), peer.address);
+        let by_short_name = |peer: &Peer| (rendezvous::short_hash(peer.name_hash), peer.address);
         self.by_short_name = peers.values().map(by_short_name).collect();
         self.hosts = self.addresses.iter().map(SocketAddr::ip).collect();
         self.halls = preference_order(&peers);
@@ -154,13 +154,13 @@
 
     /// Returns the box that owns the state of an engine, preferably one of the engine's data hall.
     pub fn owner(&self, engine: u64, hall: &str, now: Moment) -> Option<(id::Box, SocketAddr)> {
-        let rank = |peer: &Peer| (peer.hall == hall, rendezvous::weight(engine, peer.name));
+        let rank = |peer: &Peer| (peer.hall == hall, rendezvous::weight(engine, peer.name_hash));
         self.highest(now, |_, peer| Some(rank(peer)))
     }
 
     /// Returns the box of any data hall that owns state of the whole fleet, such as a customer's quota.
     pub fn fleet_owner(&self, key: u64, now: Moment) -> Option<(id::Box, SocketAddr)> {
-        self.highest(now, |_, peer| Some(rendezvous::weight(key, peer.name)))
+        self.highest(now, |_, peer| Some(rendezvous::weight(key, peer.name_hash)))
     }
 
     /// Returns the box of a data hall that owns such state while the owner `silent` does not reply.
@@ -173,7 +173,7 @@
     ) -> Option<(id::Box, SocketAddr)> {
         self.highest(now, |id, peer| {
             let is_candidate = peer.hall == hall && id != silent;
-            is_candidate.then(|| rendezvous::weight(key, peer.name))
+            is_candidate.then(|| rendezvous::weight(key, peer.name_hash))
         })
     }
 
--- a/crates/jb-relay/src/peers/register.rs
+++ b/crates/jb-relay/src/peers/register.rs
@@ -106,7 +106,7 @@
     Some(Peer {
         address: address.parse().ok()?,
         hall: hall.to_owned(),
-        name: rendezvous::name_hash(id),
+        name_hash: rendezvous::name_hash(id),
         link_mbps: fields
             .next()
             .and_then(|link_mbps| link_mbps.parse().ok())
--- a/crates/jb-relay/tests/relay_roles.rs
+++ b/crates/jb-relay/tests/relay_roles.rs
@@ -20,7 +20,7 @@
     let peer = Peer {
         address: SocketAddr::from(([10, 0, 0, 1], number)),
         hall: HALL.to_owned(),
-        name: rendezvous::name_hash(&id),
+        name_hash: rendezvous::name_hash(&id),
         link_mbps: if number % 10 < FAST_IN_TEN { 200 } else { 20 },
     };
     (id, peer)
