--- a/crates/jb-policy/src/stream.rs
+++ b/crates/jb-policy/src/stream.rs
@@ -38,16 +38,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
     /// A token or end frame arrived before the start frame.
-    #[error("token or end frame received before the start frame")]
+    #[error("a frame came before the start")]
     NotStarted,
     /// A second start frame arrived.
-    #[error("second start frame received")]
+    #[error("the answer started twice")]
     StartedTwice,
     /// The engine runs other weights than the requested ones.
-    #[error("engine runs other weights than requested")]
+    #[error("the engine runs other weights")]
     WrongWeights,
     /// A token index leaves a gap.
-    #[error("token index {got} received instead of {expected}")]
+    #[error("index {got} came where {expected} was due")]
     Gap {
         /// Index that was expected.
         expected: u32,
@@ -55,7 +55,7 @@
         got: u32,
     },
     /// The end frame's count differs from the number of delivered tokens.
-    #[error("end frame counts {counted} tokens, {delivered} were delivered")]
+    #[error("the end counts {counted} tokens, {delivered} were delivered")]
     WrongCount {
         /// Count in the end frame.
         counted: u32,
@@ -63,7 +63,7 @@
         delivered: u32,
     },
     /// The start frame counts more cached tokens than the prompt has.
-    #[error("start frame counts more cached tokens than prompt tokens")]
+    #[error("more tokens are cached than the prompt has")]
     CachedExceedsPrompt,
 }
 
--- a/crates/jb-upstream/src/engine.rs
+++ b/crates/jb-upstream/src/engine.rs
@@ -132,7 +132,7 @@
     let status = answer.status();
     match answer.json::<Refusal>().await {
         Ok(refusal) if refusal.not_run => Failure::Denied(Denial::from_upstream(refusal.reason)),
-        _ => Failure::Lost(format!("status {status} does not say whether the call ran")),
+        _ => Failure::Lost(format!("status {status} without a word on whether it ran")),
     }
 }
 
@@ -166,7 +166,7 @@
                     return;
                 }
                 Ok(None) => {
-                    yield Err(Failure::Lost("response stream closed before its final frame".to_owned()));
+                    yield Err(Failure::Lost("the answer stopped without an end".to_owned()));
                     return;
                 }
                 Err(_) => {
--- a/crates/jb-upstream/src/error.rs
+++ b/crates/jb-upstream/src/error.rs
@@ -23,7 +23,7 @@
     pub fn from_http(error: reqwest::Error) -> Self {
         let error = error.without_url();
         if error.is_connect() {
-            Self::Unreachable(Denial::from_upstream(format!("connection failed: {error}")))
+            Self::Unreachable(Denial::from_upstream(format!("no connection: {error}")))
         } else if error.is_timeout() {
             Self::Silent
         } else {
--- a/crates/jb-upstream/src/plain.rs
+++ b/crates/jb-upstream/src/plain.rs
@@ -128,14 +128,12 @@
     };
     if text(header::NOT_RUN).as_deref() == Some("true") {
         return Err(Failure::Denied(Denial::from_upstream(
-            "service refused the request",
+            "the service refused the call",
         )));
     }
     let echo = text(header::ATTEMPT);
     if echo.is_some_and(|echo| echo != request.attempt) {
-        return Err(Failure::Protocol(
-            "response carries the id of another attempt".to_owned(),
-        ));
+        return Err(Failure::Protocol("an answer to another attempt".to_owned()));
     }
     let status = answer.status().as_u16();
     let content_type = text("content-type");
@@ -144,7 +142,7 @@
         .await
         .map_err(|e| Failure::Lost(e.without_url().to_string()))?;
     if body.len() > MAX_ANSWER_BYTES {
-        return Err(Failure::Protocol("response body too long".to_owned()));
+        return Err(Failure::Protocol("the answer is too long".to_owned()));
     }
     Ok(Answer {
         status,
--- a/crates/jb-upstream/src/sse.rs
+++ b/crates/jb-upstream/src/sse.rs
@@ -8,7 +8,7 @@
 
 /// Error for an event longer than [`MAX_EVENT_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("server-sent event exceeds {MAX_EVENT_BYTES} bytes")]
+#[error("an event is longer than {MAX_EVENT_BYTES} bytes")]
 pub struct TooLong;
 
 /// Incremental parser that splits a byte stream into the data of its events. Each `data:` line counts as one event.
