--- a/crates/jb-relay/src/exchange/account_query.rs
+++ b/crates/jb-relay/src/exchange/account_query.rs
@@ -64,7 +64,7 @@
         criteria: selection::criteria(core, request, body, tried, candidate_set),
         prompt: Prompt {
             shared,
-            own: last.tokens + request.max_output_tokens,
+            unshared: last.tokens + request.max_output_tokens,
             deadline: request.deadline,
         },
         cost_model: selection::cost_model(core, request),
--- a/crates/jb-relay/src/exchange/kv_transfer.rs
+++ b/crates/jb-relay/src/exchange/kv_transfer.rs
@@ -138,7 +138,7 @@
             target: upstream.name_hash,
             version: 0,
             shared,
-            own,
+            unshared: own,
         };
         peers::record_cache_use(self.core, placed);
         let version = request.model.as_deref().and_then(|model| upstream.weights(model));
@@ -199,7 +199,7 @@
             target: store.name,
             version,
             shared,
-            own,
+            unshared: own,
         };
         peers::record_cache_use(self.core, placed);
         Some(store.address)
--- a/crates/jb-relay/src/peers/message/reservation.rs
+++ b/crates/jb-relay/src/peers/message/reservation.rs
@@ -49,7 +49,7 @@
     /// Requests that were in flight there before.
     pub running: u32,
     /// Prompt tokens that were queued there before.
-    pub waiting: u32,
+    pub queued_tokens: u32,
     /// Tokens of the prompt that are in the engine's cache.
     pub cached_tokens: u32,
     /// Whether the engine is to send the prompt's segments to a cache store.
--- a/crates/jb-relay/src/peers/quota.rs
+++ b/crates/jb-relay/src/peers/quota.rs
@@ -206,20 +206,26 @@
         // The limit was removed by a configuration that the asking box doesn't have yet.
         return reply(charge, Ok(()), f64::MAX);
     };
-    let terms = Parameters {
+    let parameters = Parameters {
         limit,
         tolerance: core.settings.bounds.quota_tolerance,
         share: scope.share(core),
     };
     let mut buckets = core.quotas.buckets.borrow_mut();
-    let new_bucket = || Bucket::new(&terms, charge.remaining.map(|remaining| remaining as f64), now);
+    let new_bucket = || {
+        Bucket::new(
+            &parameters,
+            charge.remaining.map(|remaining| remaining as f64),
+            now,
+        )
+    };
     let bucket = buckets.entry(charge.customer).or_insert_with(new_bucket);
-    bucket.settle(&terms, charge.uncharged as f64);
+    bucket.settle(&parameters, charge.uncharged as f64);
     let charged = quota::Charge {
         tokens: charge.tokens,
         urgent: charge.is_urgent,
     };
-    let taken = bucket.take(&terms, charged, now);
+    let taken = bucket.take(&parameters, charged, now);
     reply(charge, taken, bucket.level())
 }
 
--- a/crates/jb-relay/src/peers/rate_limit.rs
+++ b/crates/jb-relay/src/peers/rate_limit.rs
@@ -162,7 +162,7 @@
 /// Takes a token from a bucket; returns the time until one is available if the bucket is empty.
 fn take_token(core: &Core, instance: u32, rate: rate_limit::Rate, scope: Scope) -> Option<Duration> {
     let now = core.now();
-    let terms = rate_limit::parameters(rate, scope.share(core));
+    let parameters = rate_limit::parameters(rate, scope.share(core));
     let mut buckets = core.rate_limits.buckets.borrow_mut();
     if !buckets.contains_key(&instance) {
         drop_unknown(core, &mut buckets);
@@ -172,9 +172,9 @@
             Scope::Own => rendezvous::fraction(rendezvous::name_hash(&core.settings.id)),
             Scope::Fleet | Scope::Hall => 0.0,
         };
-        rate_limit::bucket(&terms, phase, now)
+        rate_limit::bucket(&parameters, phase, now)
     });
-    bucket.take(&terms, rate_limit::ONE_REQUEST, now).err()
+    bucket.take(&parameters, rate_limit::ONE_REQUEST, now).err()
 }
 
 /// Drops the buckets of unknown instances if there are too many.
--- a/crates/jb-relay/src/peers/reservation.rs
+++ b/crates/jb-relay/src/peers/reservation.rs
@@ -62,7 +62,7 @@
     /// Shared segments.
     pub shared: &'a [Segment],
     /// Tokens of the prompt that are not shared, and tokens to generate.
-    pub own: u64,
+    pub unshared: u64,
     /// Deadline of the request.
     pub deadline: Moment,
 }
@@ -143,7 +143,7 @@
             .iter()
             .map(|segment| (segment.id, saturating_cast(segment.tokens)))
             .collect(),
-        unshared: saturating_cast(prompt.own),
+        unshared: saturating_cast(prompt.unshared),
         admission,
         deadline_ms: saturating_cast(prompt.deadline.saturating_sub(core.now()).as_millis()),
     };
@@ -179,7 +179,7 @@
         is_reserved: reply.is_reserved,
         load: Load {
             running: reply.running,
-            queued_tokens: u64::from(reply.waiting),
+            queued_tokens: u64::from(reply.queued_tokens),
         },
         cached_tokens: u64::from(reply.cached_tokens),
         send_to_store: reply.send_to_store,
@@ -308,7 +308,7 @@
         weights: upstream.entry.models.first().map_or(0, |loaded| loaded.version),
         is_reserved,
         running: load.running,
-        waiting: saturating_cast(load.queued_tokens),
+        queued_tokens: saturating_cast(load.queued_tokens),
         cached_tokens: saturating_cast(cached_tokens),
         send_to_store,
         is_stored,
--- a/crates/jb-relay/src/peers/status.rs
+++ b/crates/jb-relay/src/peers/status.rs
@@ -49,7 +49,7 @@
     /// Shared segments.
     pub shared: &'a [Segment],
     /// Tokens of the prompt that are not shared, and generated tokens.
-    pub own: u64,
+    pub unshared: u64,
 }
 
 /// Records a prompt for the next status. In a large fleet the owners of engines track prompts instead.
@@ -67,7 +67,7 @@
         target: prompt.target,
         version: prompt.version,
         shared,
-        unshared: saturating_cast(prompt.own),
+        unshared: saturating_cast(prompt.unshared),
     });
 }
 
