--- a/crates/jb-relay/src/attempt.rs
+++ b/crates/jb-relay/src/attempt.rs
@@ -131,7 +131,7 @@
     if entry.hall != core.settings.hall && matches!(why, pool::Error::TimedOut(_)) {
         core.hall_reachability
             .borrow_mut()
-            .note_timeout(&entry.hall, instance.name(), core.now());
+            .note_timeout(&entry.hall, instance.name_hash(), core.now());
     }
 }
 
--- a/crates/jb-relay/src/cache_scan.rs
+++ b/crates/jb-relay/src/cache_scan.rs
@@ -55,7 +55,7 @@
     let observed = core.engines.cache_contents(address).await;
     signal::apply_signals(&core, &instance, observed.signals, None);
     match observed.result {
-        Ok(contents) if instance.is_confirmed_by(contents.started_at) => {
+        Ok(contents) if instance.matches_start_time(contents.started_at) => {
             apply(&core, &instance, &contents.segments)
         }
         Ok(contents) => restart::note(&core, &instance, contents.started_at, "cache"),
--- a/crates/jb-relay/src/core.rs
+++ b/crates/jb-relay/src/core.rs
@@ -230,8 +230,8 @@
     pub fn accepts_requests(&self, instance: &Instance, permit: Permit) -> bool {
         let upstreams = self.upstreams.borrow();
         upstreams.instance(instance).is_some_and(|upstream| {
-            let permitted = permit == Permit::Granted || upstream.limit.rate().is_none();
-            permitted && upstream.is_there() && !upstream.is_backing_off(self.now())
+            let permitted = permit == Permit::Granted || upstream.rate_limit.rate().is_none();
+            permitted && upstream.is_in_rotation() && !upstream.is_backing_off(self.now())
         })
     }
 
--- a/crates/jb-relay/src/exchange/account_query.rs
+++ b/crates/jb-relay/src/exchange/account_query.rs
@@ -123,7 +123,7 @@
             .core
             .upstreams
             .borrow()
-            .connected(&self.wanted, MAX_CONNECTED, now);
+            .with_idle_connections(&self.wanted, MAX_CONNECTED, now);
         if !near.contains(own) {
             near.push(own.clone());
         }
@@ -264,7 +264,7 @@
     /// Returns the engines that may have a prefix group cached because they were its home before.
     fn previous_homes(&self, family: u64, own: &Instance) -> Vec<Instance> {
         let upstreams = self.core.upstreams.borrow();
-        let first = upstreams.holders_first(family, &self.wanted, MAX_QUERIED_ACCOUNTS, self.core.now());
+        let first = upstreams.ranked_exporters(family, &self.wanted, MAX_QUERIED_ACCOUNTS, self.core.now());
         first.into_iter().filter(|instance| instance != own).collect()
     }
 
--- a/crates/jb-relay/src/exchange/isolation.rs
+++ b/crates/jb-relay/src/exchange/isolation.rs
@@ -102,7 +102,10 @@
         );
         let instances = |instance: &Instance| !ended.contains(&quarantine::engine_name(instance));
         let free = |instance: &Instance| !trials.contains(&quarantine::engine_name(instance));
-        let instance = core.upstreams.borrow().quietest(&wanted, instances, free, now)?;
+        let instance = core
+            .upstreams
+            .borrow()
+            .least_loaded(&wanted, instances, free, now)?;
         Some(Choice {
             instance,
             estimate: Estimate {
--- a/crates/jb-relay/src/exchange/kv_transfer.rs
+++ b/crates/jb-relay/src/exchange/kv_transfer.rs
@@ -41,13 +41,16 @@
             &self.tried,
             CandidateSet::Listed,
         );
-        let other = core.upstreams.borrow().source(instance, &wanted, core.now());
+        let other = core
+            .upstreams
+            .borrow()
+            .cache_source(instance, &wanted, core.now());
         let Some((found, version)) =
             self.note_prompt(instance, shared, last.tokens + request.max_output_tokens)
         else {
             return 0;
         };
-        let engine = found + other.map_or(0, |source| source.tokens);
+        let engine = found + other.map_or(0, |source| source.extra_tokens);
         let holdings = self.holdings(shared, version, found, engine);
         let plan = transfer::plan(&holdings);
         self.message.kv_source = match plan.origin {
@@ -72,8 +75,8 @@
             "brought" => plan.tokens, "unread" => unread, "origin" => ?plan.origin,
             "from" => self.message.kv_source.map(|from| from.to_string()), "to_store" => self.message.kv_target.is_some(),
             "family" => self.demand().prefix_group(),
-            "running" => upstream.map(|upstream| upstream.running + upstream.others.running),
-            "waiting" => upstream.map(|upstream| upstream.waiting + upstream.others.waiting), "weights" => version);
+            "running" => upstream.map(|upstream| upstream.running + upstream.peer_load.running),
+            "waiting" => upstream.map(|upstream| upstream.waiting + upstream.peer_load.waiting), "weights" => version);
         unread
     }
 
@@ -129,10 +132,10 @@
         let mut upstreams = self.core.upstreams.borrow_mut();
         let upstream = upstreams.instance_mut(instance)?;
         let found = upstream.cache.cached_tokens(&request.prompt);
-        upstream.set_memory(self.kv_capacity());
+        upstream.set_kv_capacity(self.kv_capacity());
         upstream.cache.insert(shared.iter().copied(), own);
         let placed = SentPrompt {
-            target: upstream.name,
+            target: upstream.name_hash,
             version: 0,
             shared,
             own,
--- a/crates/jb-relay/src/exchange/load_guard.rs
+++ b/crates/jb-relay/src/exchange/load_guard.rs
@@ -37,7 +37,7 @@
             .borrow_mut()
             .begin_request(instance, waiting, fixed)
         {
-            queued_tokens = upstream.waiting + upstream.others.waiting;
+            queued_tokens = upstream.waiting + upstream.peer_load.waiting;
             peers::announce_prompt(core, upstream, waiting);
         }
         Self {
--- a/crates/jb-relay/src/exchange/selection.rs
+++ b/crates/jb-relay/src/exchange/selection.rs
@@ -186,7 +186,7 @@
 /// back off or are rate-limited.
 pub(super) fn earliest_availability(core: &Core, request: &AdmittedRequest, body: &Bytes) -> Option<Moment> {
     let wanted = wanted(core, request, body, &[], CandidateSet::All);
-    core.upstreams.borrow().first_back(&wanted, core.now())
+    core.upstreams.borrow().next_available_at(&wanted, core.now())
 }
 
 pub(super) fn wanted<'a>(
--- a/crates/jb-relay/src/follow/mod.rs
+++ b/crates/jb-relay/src/follow/mod.rs
@@ -6,4 +6,4 @@
 mod run;
 mod start_up;
 
-pub use run::{PERIOD, run};
+pub use run::{POLL_INTERVAL, run};
--- a/crates/jb-relay/src/follow/run.rs
+++ b/crates/jb-relay/src/follow/run.rs
@@ -23,7 +23,7 @@
 
 /// Pause between two calls: with the way there and back well under the time in which a
 /// configuration must be in force and a leaving upstream be known.
-pub const PERIOD: Duration = Duration::from_millis(700);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(700);
 /// Pause between two questions to the relay node of the data hall, which add to the age of its own call.
 const ASK_PERIOD: Duration = Duration::from_millis(350);
 /// Pause after a call that failed.
@@ -171,7 +171,7 @@
     };
     // A store that has been lost is to say at once that it is back.
     let waits = !progress.unproven && progress.failing.is_none();
-    let wait = if waits { PERIOD } else { Duration::ZERO };
+    let wait = if waits { POLL_INTERVAL } else { Duration::ZERO };
     let news = match progress.after {
         Some(after) => core.store.changes(after, wait).await,
         None => core.store.all_items(age).await,
@@ -192,7 +192,7 @@
                 },
             );
             if !stale {
-                sleep((asked + PERIOD).saturating_sub(core.now())).await;
+                sleep((asked + POLL_INTERVAL).saturating_sub(core.now())).await;
             }
         }
         Err(why @ (StoreError::HistoryGone | StoreError::Restored)) => {
--- a/crates/jb-relay/src/leader/election.rs
+++ b/crates/jb-relay/src/leader/election.rs
@@ -18,7 +18,7 @@
         let held = holder.as_ref().is_some_and(|item| item.value.is_some());
         // Without the own address in the list, the others' are missing too.
         let listed = core.book.borrow().address(&core.settings.id).is_some();
-        if held || !listed || core.state_age().is_none_or(|age| age > 2 * follow::PERIOD) {
+        if held || !listed || core.state_age().is_none_or(|age| age > 2 * follow::POLL_INTERVAL) {
             self.vacant_since.set(None);
             return;
         }
@@ -33,7 +33,7 @@
             let expected = revision(core.box_items.borrow().get(&record::key(core.era())));
             emit!(core.logger, info, event::LEADER_NOT_ELECTED, "why" => %why, "expected" => ?expected);
             self.vacant_since.set(None);
-            sleep(follow::PERIOD).await;
+            sleep(follow::POLL_INTERVAL).await;
         }
     }
 
--- a/crates/jb-relay/src/leader/load.rs
+++ b/crates/jb-relay/src/leader/load.rs
@@ -151,13 +151,13 @@
         for (_, upstream) in with_model {
             all += 1;
             let instance = &upstream.instance;
-            let old = upstream.weights(model).is_some_and(|has| has < version) && !upstream.refused;
+            let old = upstream.weights(model).is_some_and(|has| has < version) && !upstream.replaced;
             let barred = self.record.borrow().is_barred(&instance.id, now)
                 || self.absent.borrow().is_paused(instance, now);
             let free = !barred && !self.lets_rest(upstream, model) && !loading.contains(instance);
-            if old && free && upstream.is_there() && upstream.expired.is_none() {
+            if old && free && upstream.is_in_rotation() && upstream.expired.is_none() {
                 let unsound = !upstream.health.is_available(now);
-                let running = upstream.running + upstream.others.running;
+                let running = upstream.running + upstream.peer_load.running;
                 let unnamed = !self.record.borrow().covers(std::slice::from_ref(instance));
                 behind.push((
                     unsound,
@@ -214,13 +214,13 @@
     /// Returns whether an engine can still be used: it may have begun to drain.
     fn is_there(&self, instance: &Instance) -> bool {
         let upstreams = self.core.upstreams.borrow();
-        upstreams.instance(instance).is_some_and(Upstream::is_there)
+        upstreams.instance(instance).is_some_and(Upstream::is_in_rotation)
     }
 
     /// Whether a report is of the life that is known; a later one is noted.
     fn is_same_life(&self, instance: &Instance, report: &Report) -> bool {
         let fewer_orders = self.counts.borrow_mut().fall(instance, report.orders_taken);
-        if !instance.is_confirmed_by(report.started_at) {
+        if !instance.matches_start_time(report.started_at) {
             restart::note(&self.core, instance, report.started_at, "report");
             return false;
         }
@@ -288,7 +288,7 @@
         let upstreams = self.core.upstreams.borrow();
         upstreams
             .instance(instance)
-            .map_or(0, |upstream| upstream.fixed + upstream.others.fixed)
+            .map_or(0, |upstream| upstream.pinned + upstream.peer_load.pinned)
     }
 
     /// A place among the engines that load at the same time.
@@ -329,7 +329,7 @@
             Ok(OrderOutcome::Refused(status)) => {
                 if let Some(upstream) = core.upstreams.borrow_mut().instance_mut(instance) {
                     // Another incarnation has the address.
-                    upstream.refused |= status == 421;
+                    upstream.replaced |= status == 421;
                 }
                 self.absent.borrow_mut().note(instance, core.now());
                 return false;
--- a/crates/jb-relay/src/peers/outbox.rs
+++ b/crates/jb-relay/src/peers/outbox.rs
@@ -53,9 +53,10 @@
         return;
     }
     let mut outbox = core.notices.borrow_mut();
-    outbox
-        .prompts
-        .push((rendezvous::short_hash(upstream.name), saturating_cast(tokens)));
+    outbox.prompts.push((
+        rendezvous::short_hash(upstream.name_hash),
+        saturating_cast(tokens),
+    ));
     outbox.wake.notify_one();
 }
 
@@ -89,7 +90,7 @@
     core.notices
         .borrow_mut()
         .replaced
-        .push(rendezvous::short_hash(upstream.name));
+        .push(rendezvous::short_hash(upstream.name_hash));
 }
 
 /// Announces that an upstream has signalled that it is draining. While the store is down each other box would otherwise
@@ -98,7 +99,7 @@
     core.notices
         .borrow_mut()
         .draining
-        .push(rendezvous::short_hash(upstream.name));
+        .push(rendezvous::short_hash(upstream.name_hash));
 }
 
 /// Announces that the rate limit of an upstream has begun or ended.
@@ -106,7 +107,7 @@
     core.notices
         .borrow_mut()
         .limits
-        .push(rendezvous::short_hash(upstream.name));
+        .push(rendezvous::short_hash(upstream.name_hash));
 }
 
 /// Broadcasts the announced changes of upstreams.
--- a/crates/jb-relay/src/peers/rate_limit.rs
+++ b/crates/jb-relay/src/peers/rate_limit.rs
@@ -91,13 +91,13 @@
 fn limit_of(core: &Core, instance: &Instance) -> Option<(u64, Option<Owner>, rate_limit::Observation)> {
     let upstreams = core.upstreams.borrow();
     let upstream = upstreams.instance(instance)?;
-    let observation = upstream.limit.observation()?;
+    let observation = upstream.rate_limit.observation()?;
     observation.rate?;
     let owner = core
         .book
         .borrow()
-        .owner(upstream.name, &upstream.entry.hall, core.now());
-    Some((upstream.name, owner, observation))
+        .owner(upstream.name_hash, &upstream.entry.hall, core.now());
+    Some((upstream.name_hash, owner, observation))
 }
 
 async fn query_owner(core: &Core, (id, address): &Owner, query: &Acquire) -> Option<Reply> {
@@ -130,7 +130,7 @@
     };
     core.metrics.rate_limit_denied.inc();
     let after = Duration::from_millis(after.into()).min(MAX_BLOCK);
-    upstream.limit.block_until(now + after);
+    upstream.rate_limit.block_until(now + after);
     Err(Denied)
 }
 
@@ -153,7 +153,7 @@
     let mut upstreams = core.upstreams.borrow_mut();
     let known = upstreams.by_short_name_mut(query.instance).and_then(|upstream| {
         merge(core, upstream, query.observation);
-        upstream.limit.observation()
+        upstream.rate_limit.observation()
     });
     // This box may not have received the entry of the instance yet.
     known.unwrap_or_else(|| from_message(query.observation, core.now()))
@@ -183,7 +183,7 @@
         let upstreams = core.upstreams.borrow();
         let known: HashSet<u32> = upstreams
             .iter()
-            .map(|(_, u)| rendezvous::short_hash(u.name))
+            .map(|(_, u)| rendezvous::short_hash(u.name_hash))
             .collect();
         buckets.retain(|instance, _| known.contains(instance));
     }
@@ -208,8 +208,8 @@
     let now = core.now();
     let upstreams = core.upstreams.borrow();
     let limits = upstreams.iter().filter_map(|(_, upstream)| {
-        let name = rendezvous::short_hash(upstream.name);
-        let observation = upstream.limit.observation()?;
+        let name = rendezvous::short_hash(upstream.name_hash);
+        let observation = upstream.rate_limit.observation()?;
         instances
             .contains(&name)
             .then(|| (name, to_message(observation, now)))
@@ -238,7 +238,7 @@
 
 fn merge(core: &Core, upstream: &mut Upstream, observation: Observation) {
     let observation = from_message(observation, core.now());
-    if upstream.limit.merge(observation) {
+    if upstream.rate_limit.merge(observation) {
         log_rate_limit(core, upstream, "peer");
     }
 }
@@ -246,7 +246,7 @@
 /// Logs that the limit of an instance has changed.
 pub fn log_rate_limit(core: &Core, upstream: &Upstream, source: &'static str) {
     emit!(core.logger, info, event::UPSTREAM_LIMITED, "upstream" => %upstream.instance,
-        "source" => source, "per_second" => upstream.limit.rate());
+        "source" => source, "per_second" => upstream.rate_limit.rate());
 }
 
 fn to_message(observation: rate_limit::Observation, now: Moment) -> Observation {
--- a/crates/jb-relay/src/peers/reservation.rs
+++ b/crates/jb-relay/src/peers/reservation.rs
@@ -193,9 +193,9 @@
 fn owner(core: &Core, engine: &Instance) -> Option<EngineOwner> {
     let upstreams = core.upstreams.borrow();
     let upstream = upstreams.instance(engine)?;
-    let name = rendezvous::short_hash(upstream.name);
+    let name = rendezvous::short_hash(upstream.name_hash);
     let directory = core.book.borrow();
-    let owner = directory.owner(upstream.name, &upstream.entry.hall, core.now());
+    let owner = directory.owner(upstream.name_hash, &upstream.entry.hall, core.now());
     let owner = owner.filter(|(id, _)| *id != core.settings.id);
     Some((name, owner))
 }
@@ -264,7 +264,7 @@
     let mut upstreams = core.upstreams.borrow_mut();
     let upstream = upstreams.by_short_name_mut(query.engine)?;
     let memory = memory(&upstream.entry.service).unwrap_or_default();
-    upstream.set_memory(memory);
+    upstream.set_kv_capacity(memory);
     let shared: Vec<Segment> = query
         .shared
         .iter()
@@ -276,7 +276,7 @@
     let all: u64 = shared.iter().map(|segment| segment.tokens).sum();
     let cached_tokens = upstream.cache.cached_tokens(&shared);
     let load = upstream.account.load();
-    let is_open = upstream.is_open(now);
+    let is_open = upstream.is_available(now);
     let slots = upstream.entry.slots;
     let is_reserved = match query.admission {
         Admission::Always => true,
--- a/crates/jb-relay/src/peers/status.rs
+++ b/crates/jb-relay/src/peers/status.rs
@@ -165,9 +165,9 @@
 fn own_loads(core: &Core) -> Vec<UpstreamLoad> {
     let upstreams = core.upstreams.borrow();
     let load = |u: &Upstream| UpstreamLoad {
-        upstream: rendezvous::short_hash(u.name),
+        upstream: rendezvous::short_hash(u.name_hash),
         running: u.running,
-        fixed: u.fixed,
+        fixed: u.pinned,
         waiting: u.waiting,
     };
     upstreams.busy().map(load).collect()
@@ -235,7 +235,7 @@
     }
     let mut upstreams = core.upstreams.borrow_mut();
     let upstream = upstreams.by_short_name_mut(rendezvous::short_hash(cache_use.target));
-    if let Some(upstream) = upstream.filter(|upstream| upstream.name == cache_use.target) {
+    if let Some(upstream) = upstream.filter(|upstream| upstream.name_hash == cache_use.target) {
         upstream.cache.insert(shared, unshared);
     }
 }
@@ -254,9 +254,9 @@
     for &name in names {
         let others = loads.others(name);
         if let Some(upstream) = upstreams.by_short_name_mut(name) {
-            upstream.others = Load {
+            upstream.peer_load = Load {
                 running: others.running,
-                fixed: others.fixed,
+                pinned: others.fixed,
                 waiting: others.waiting,
             };
         }
--- a/crates/jb-relay/src/peers/weights.rs
+++ b/crates/jb-relay/src/peers/weights.rs
@@ -32,7 +32,7 @@
     version: Option<u64>,
 ) {
     let loaded = LoadedWeights {
-        upstream: rendezvous::short_hash(upstream.name()),
+        upstream: rendezvous::short_hash(upstream.name_hash()),
         model: model.to_owned(),
         version: version.unwrap_or(0),
     };
--- a/crates/jb-relay/src/pool.rs
+++ b/crates/jb-relay/src/pool.rs
@@ -132,7 +132,7 @@
         if known.entry.draining {
             return false;
         }
-        if core.now() < known.ended_until {
+        if core.now() < known.down_until {
             return true;
         }
     }
@@ -144,7 +144,7 @@
         return false;
     }
     if let Some(known) = core.upstreams.borrow_mut().instance_mut(upstream) {
-        known.note_end(core.now());
+        known.mark_down(core.now());
     }
     true
 }
@@ -161,7 +161,7 @@
     let witnesses = core
         .upstreams
         .borrow()
-        .neighbours(upstream, MAX_WITNESSES, core.now());
+        .healthy_in_hall(upstream, MAX_WITNESSES, core.now());
     for witness in &witnesses {
         if probe(core, witness).await.is_ok() {
             return true;
--- a/crates/jb-relay/src/quarantine.rs
+++ b/crates/jb-relay/src/quarantine.rs
@@ -81,7 +81,7 @@
 
 /// Returns the short name of an engine instance in messages between boxes.
 pub fn engine_name(instance: &Instance) -> EngineId {
-    rendezvous::short_hash(instance.name())
+    rendezvous::short_hash(instance.name_hash())
 }
 
 /// Records that an engine crashed while it executed a request; `isolated` if the request was in an isolated trial.
--- a/crates/jb-relay/src/signal.rs
+++ b/crates/jb-relay/src/signal.rs
@@ -113,11 +113,11 @@
         emit!(core.logger, info, event::UPSTREAM_DRAINING, "upstream" => %instance, "why" => "answer");
         peers::announce_draining(core, upstream);
     }
-    let was_limited = upstream.limit.rate().is_some();
-    if upstream.limit.observe(signals.limit, sent, now) {
+    let was_limited = upstream.rate_limit.rate().is_some();
+    if upstream.rate_limit.observe(signals.limit, sent, now) {
         peers::log_rate_limit(core, upstream, "response");
     }
-    if was_limited != upstream.limit.rate().is_some() {
+    if was_limited != upstream.rate_limit.rate().is_some() {
         peers::announce_rate_limit(core, upstream);
     }
     if let Some(until) = upstream.backoff.observe(signals, upstream.running, now) {
@@ -130,9 +130,9 @@
 /// Marks an instance as replaced: another one has its address.
 fn note_replaced(core: &Core, instance: &Instance) {
     if let Some(upstream) = core.upstreams.borrow_mut().instance_mut(instance)
-        && !upstream.refused
+        && !upstream.replaced
     {
-        upstream.refused = true;
+        upstream.replaced = true;
         peers::announce_replaced(core, upstream);
     }
 }
--- a/crates/jb-relay/src/upstream/wanted.rs
+++ b/crates/jb-relay/src/upstream/criteria.rs
@@ -38,5 +38,5 @@
     /// Address.
     pub address: SocketAddr,
     /// Tokens that it has beyond the target's own.
-    pub tokens: u64,
+    pub extra_tokens: u64,
 }
--- a/crates/jb-relay/src/upstream/instance.rs
+++ b/crates/jb-relay/src/upstream/instance.rs
@@ -28,14 +28,14 @@
 
 impl Instance {
     /// Returns the hash by which boxes name it, and which ranks upstreams for the choice.
-    pub fn name(&self) -> u64 {
+    pub fn name_hash(&self) -> u64 {
         let id = rendezvous::name_hash(&self.id);
         self.started_at
             .map_or(id, |started_at| rendezvous::weight(id, started_at))
     }
 
     /// Returns whether a start time belongs to this instance; true where either is unknown.
-    pub fn is_confirmed_by(&self, started_at: Option<StartTime>) -> bool {
+    pub fn matches_start_time(&self, started_at: Option<StartTime>) -> bool {
         self.started_at.is_none() || started_at.is_none() || self.started_at == started_at
     }
 }
--- a/crates/jb-relay/src/upstream/mod.rs
+++ b/crates/jb-relay/src/upstream/mod.rs
@@ -1,15 +1,15 @@
-//! The upstreams that a box knows, and what it believes of each.
+//! Registry of the upstreams known to this box, with the observed state of each.
 
+mod criteria;
 mod instance;
-mod pick;
 mod registration;
 mod registry;
+mod selection;
 mod state;
 mod table;
-mod wanted;
 
+pub use criteria::{CacheSource, Criteria};
 pub use instance::{Id, Instance};
-pub use registration::{Record, Standing};
+pub use registration::{RegistrationState, Status};
 pub use registry::{EndedInstance, Registry, Transition};
 pub use state::{Load, Upstream};
-pub use wanted::{CacheSource, Criteria};
--- a/crates/jb-relay/src/upstream/registration.rs
+++ b/crates/jb-relay/src/upstream/registration.rs
@@ -9,11 +9,11 @@
 
 /// State of an id.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Standing {
+pub enum Status {
     /// Nothing is known.
     Unknown,
     /// There is an upstream.
-    There(Entry),
+    Registered(Entry),
     /// The entry can't be used.
     Unreadable,
     /// There is no entry.
@@ -22,32 +22,32 @@
 
 /// All that is known of an id.
 #[derive(Clone, Debug, Default)]
-pub struct Record {
+pub struct RegistrationState {
     /// Latest entry of the latest instance.
     entry: Option<(Revision, Entry)>,
     /// Start of the latest instance that drains.
-    left: Option<Option<StartTime>>,
+    draining_from: Option<Option<StartTime>>,
     /// Latest registration without an entry.
-    other: Option<(Revision, Other)>,
+    absence: Option<(Revision, Absence)>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Other {
+enum Absence {
     Unreadable,
     Gone,
 }
 
-impl Record {
+impl RegistrationState {
     /// Applies a registration.
-    pub fn take(&mut self, registration: Registration, revision: Revision) {
+    pub fn merge(&mut self, registration: Registration, revision: Revision) {
         match registration {
-            Registration::Entry(entry) => self.take_entry(entry, revision),
-            Registration::Unreadable(_) => self.take_other(Other::Unreadable, revision),
-            Registration::Gone => self.take_other(Other::Gone, revision),
+            Registration::Entry(entry) => self.merge_entry(entry, revision),
+            Registration::Unreadable(_) => self.merge_other(Absence::Unreadable, revision),
+            Registration::Gone => self.merge_other(Absence::Gone, revision),
         }
     }
 
-    fn take_entry(&mut self, entry: Entry, revision: Revision) {
+    fn merge_entry(&mut self, entry: Entry, revision: Revision) {
         let known = self.entry.as_ref().map(|(_, known)| known.started_at);
         if known.is_some_and(|started_at| entry.started_at < started_at) {
             return;
@@ -56,7 +56,7 @@
             self.entry = None;
         }
         if entry.draining {
-            self.drain_by_peer(entry.started_at);
+            self.note_draining(entry.started_at);
         }
         if self.entry.as_ref().is_none_or(|(known, _)| *known < revision) {
             self.entry = Some((revision, entry));
@@ -64,32 +64,32 @@
     }
 
     /// Notes that an instance drains, as the store or a response says.
-    pub fn drain_by_peer(&mut self, started_at: Option<StartTime>) {
-        self.left = self.left.max(Some(started_at));
+    pub fn note_draining(&mut self, started_at: Option<StartTime>) {
+        self.draining_from = self.draining_from.max(Some(started_at));
     }
 
     /// Returns whether an instance drains; it does when a later one does, as it has ended then.
-    pub fn leaves(&self, started_at: Option<StartTime>) -> bool {
-        self.left.is_some_and(|left| left >= started_at)
+    pub fn is_draining(&self, started_at: Option<StartTime>) -> bool {
+        self.draining_from.is_some_and(|left| left >= started_at)
     }
 
-    fn take_other(&mut self, other: Other, revision: Revision) {
-        if self.other.is_none_or(|(known, _)| known < revision) {
-            self.other = Some((revision, other));
+    fn merge_other(&mut self, other: Absence, revision: Revision) {
+        if self.absence.is_none_or(|(known, _)| known < revision) {
+            self.absence = Some((revision, other));
         }
     }
 
     /// Returns the state.
-    pub fn standing(&self) -> Standing {
-        let other = self.other.map(|(revision, _)| revision).unwrap_or_default();
-        match (&self.entry, self.other) {
-            (Some((revision, entry)), _) if *revision >= other => Standing::There(Entry {
-                draining: self.leaves(entry.started_at),
+    pub fn status(&self) -> Status {
+        let other = self.absence.map(|(revision, _)| revision).unwrap_or_default();
+        match (&self.entry, self.absence) {
+            (Some((revision, entry)), _) if *revision >= other => Status::Registered(Entry {
+                draining: self.is_draining(entry.started_at),
                 ..entry.clone()
             }),
-            (_, Some((_, Other::Unreadable))) => Standing::Unreadable,
-            (_, Some((_, Other::Gone))) => Standing::Gone,
-            (_, None) => Standing::Unknown,
+            (_, Some((_, Absence::Unreadable))) => Status::Unreadable,
+            (_, Some((_, Absence::Gone))) => Status::Gone,
+            (_, None) => Status::Unknown,
         }
     }
 
@@ -101,7 +101,7 @@
     /// Revision of the last registration.
     pub fn revision(&self) -> Revision {
         let entry = self.entry.as_ref().map(|(revision, _)| *revision);
-        let other = self.other.map(|(revision, _)| revision);
+        let other = self.absence.map(|(revision, _)| revision);
         entry.max(other).unwrap_or_default()
     }
 }
--- a/crates/jb-relay/src/upstream/registry.rs
+++ b/crates/jb-relay/src/upstream/registry.rs
@@ -9,7 +9,7 @@
 use jb_policy::rendezvous;
 use jb_policy::signal::Signals;
 
-use super::registration::{Record, Standing};
+use super::registration::{RegistrationState, Status};
 use super::table::Table;
 use super::{Id, Instance, Upstream};
 use crate::port::{Entry, Registration, Revision, StartTime};
@@ -23,7 +23,7 @@
 const MIN_REPLACED: usize = 64;
 
 /// Drops the oldest entries beyond a length.
-fn truncate<T>(entries: &mut VecDeque<T>, most: usize) {
+fn evict_oldest<T>(entries: &mut VecDeque<T>, most: usize) {
     let excess = entries.len().saturating_sub(most);
     entries.drain(..excess);
 }
@@ -31,8 +31,8 @@
 /// All upstreams.
 #[derive(Debug, Default)]
 pub struct Registry {
-    all: Table,
-    records: BTreeMap<Id, Record>,
+    upstreams: Table,
+    registrations: BTreeMap<Id, RegistrationState>,
     /// Ids that were deregistered, the last one at the end; some may be back.
     deregistered: VecDeque<Id>,
     /// Short names of instances at whose addresses others answer, the latest at the end.
@@ -97,33 +97,33 @@
         registration: Registration,
         revision: Revision,
     ) -> Transition {
-        let records = self.records.entry(id.to_owned()).or_default();
-        let before = records.standing();
-        records.take(registration, revision);
-        let now = records.standing();
+        let records = self.registrations.entry(id.to_owned()).or_default();
+        let before = records.status();
+        records.merge(registration, revision);
+        let now = records.status();
         if now == before {
             return Transition::Unchanged;
         }
         match now {
-            Standing::There(entry) => self.put(id, entry),
-            Standing::Unreadable => self.blur(id),
-            Standing::Gone => Transition::Missing,
-            Standing::Unknown => Transition::Unchanged,
+            Status::Registered(entry) => self.put(id, entry),
+            Status::Unreadable => self.mark_unreadable(id),
+            Status::Gone => Transition::Missing,
+            Status::Unknown => Transition::Unchanged,
         }
     }
 
     /// Applies the signals of a response; returns whether the instance has begun to drain. Its entry may
     /// still name it as ready, or be missing and come back.
     pub fn observe_signals(&mut self, instance: &Instance, signals: Signals) -> bool {
-        let records = self.records.entry(instance.id.clone()).or_default();
+        let records = self.registrations.entry(instance.id.clone()).or_default();
         if signals.draining {
-            records.drain_by_peer(instance.started_at);
+            records.note_draining(instance.started_at);
         }
-        let Some(known) = self.all.get_mut(&instance.id) else {
+        let Some(known) = self.upstreams.get_mut(&instance.id) else {
             return false;
         };
-        let leaves = records.leaves(known.instance.started_at);
-        let new = leaves && known.is_there();
+        let leaves = records.is_draining(known.instance.started_at);
+        let new = leaves && known.is_in_rotation();
         known.entry.draining |= leaves;
         new
     }
@@ -131,10 +131,10 @@
     fn put(&mut self, id: &str, entry: Entry) -> Transition {
         self.note_start_time(&entry);
         if self.has_start_times && entry.started_at.is_none() {
-            return self.blur(id);
+            return self.mark_unreadable(id);
         }
         let same_life = |known: &&mut Upstream| known.instance.started_at == entry.started_at;
-        if let Some(known) = self.all.get_mut(id).filter(same_life)
+        if let Some(known) = self.upstreams.get_mut(id).filter(same_life)
             && known.entry.service == entry.service
         {
             let leaves = entry.draining && !known.entry.draining;
@@ -156,7 +156,7 @@
             return;
         }
         self.has_start_times = true;
-        for upstream in self.all.values_mut() {
+        for upstream in self.upstreams.values_mut() {
             upstream.unreadable |= upstream.instance.started_at.is_none();
         }
     }
@@ -169,17 +169,19 @@
         let mut upstream = Upstream::new(instance, entry);
         // Without start times, an id that is back may have its address back as well.
         let is_replaced = upstream.instance.started_at.is_some()
-            && self.replaced.contains(&rendezvous::short_hash(upstream.name));
-        upstream.refused |= is_replaced;
+            && self
+                .replaced
+                .contains(&rendezvous::short_hash(upstream.name_hash));
+        upstream.replaced |= is_replaced;
         let known = self.constraints.iter().rev();
         if let Some(known) = known.clone().find(|known| known.instance == upstream.instance) {
-            (upstream.backoff, upstream.limit) = (known.backoff, known.limit);
+            (upstream.backoff, upstream.rate_limit) = (known.backoff, known.limit);
         }
-        self.all.insert(upstream);
+        self.upstreams.insert(upstream);
     }
 
-    fn blur(&mut self, id: &str) -> Transition {
-        if let Some(known) = self.all.get_mut(id) {
+    fn mark_unreadable(&mut self, id: &str) -> Transition {
+        if let Some(known) = self.upstreams.get_mut(id) {
             known.unreadable = true;
         }
         Transition::Unreadable
@@ -187,7 +189,7 @@
 
     /// Notes that an entry is missing and may come back until a moment; whether that is new.
     pub fn expire(&mut self, id: &str, until: Moment) -> bool {
-        let Some(known) = self.all.get_mut(id) else {
+        let Some(known) = self.upstreams.get_mut(id) else {
             return false;
         };
         let new = known.expired.is_none();
@@ -197,25 +199,25 @@
 
     /// Takes an upstream off; `None` when it is not known.
     pub fn remove(&mut self, id: &str) -> Option<EndedInstance> {
-        let known = self.all.remove(id);
+        let known = self.upstreams.remove(id);
         self.deregistered.push_back(id.to_owned());
-        self.evict();
+        self.evict_registrations();
         let known = known?;
         self.constraints.push_back(Constraints {
             instance: known.instance.clone(),
             backoff: known.backoff,
-            limit: known.limit,
+            limit: known.rate_limit,
         });
-        truncate(&mut self.constraints, MIN_CONSTRAINTS.max(self.all.len()));
+        evict_oldest(&mut self.constraints, MIN_CONSTRAINTS.max(self.upstreams.len()));
         Some(EndedInstance::of(&known))
     }
 
     /// Evicts the oldest records of deregistered upstreams.
-    fn evict(&mut self) {
-        while self.deregistered.len() > MIN_DEREGISTERED.max(self.all.len()) {
+    fn evict_registrations(&mut self) {
+        while self.deregistered.len() > MIN_DEREGISTERED.max(self.upstreams.len()) {
             let oldest = self.deregistered.pop_front();
-            if let Some(oldest) = oldest.filter(|id| !self.all.contains(id)) {
-                self.records.remove(&oldest);
+            if let Some(oldest) = oldest.filter(|id| !self.upstreams.contains(id)) {
+                self.registrations.remove(&oldest);
             }
         }
     }
@@ -228,7 +230,7 @@
         let (entry, expired) = (known.entry.clone(), known.expired);
         *known = Upstream::new(instance.clone(), entry);
         known.expired = expired;
-        known.refused = instance.started_at.is_some();
+        known.replaced = instance.started_at.is_some();
         Some(ended)
     }
 
@@ -236,19 +238,21 @@
     pub fn note_replaced(&mut self, names: &[u32]) {
         for &name in names {
             if let Some(upstream) = self.by_short_name_mut(name) {
-                upstream.refused = true;
+                upstream.replaced = true;
             }
         }
         self.replaced.extend(names);
-        truncate(&mut self.replaced, MIN_REPLACED.max(self.all.len()));
+        evict_oldest(&mut self.replaced, MIN_REPLACED.max(self.upstreams.len()));
     }
 
     /// Notes instances that drain, as other boxes report; returns those that are taken out.
     ///
     /// Reports of other boxes take out at most half of a service, so that one faulty box can't empty it.
     pub fn note_draining(&mut self, names: &[u32]) -> Vec<Instance> {
-        let named = names.iter().filter_map(|name| self.all.by_short_name(*name));
-        let new = named.filter(|upstream| upstream.is_there());
+        let named = names
+            .iter()
+            .filter_map(|name| self.upstreams.by_short_name(*name));
+        let new = named.filter(|upstream| upstream.is_in_rotation());
         let new: Vec<Instance> = new.map(|upstream| upstream.instance.clone()).collect();
         new.into_iter()
             .filter(|instance| self.drain_by_peer(instance))
@@ -273,13 +277,13 @@
 
     /// Returns whether an upstream was there and its entry has gone.
     pub fn is_deregistered(&self, id: &str) -> bool {
-        let known = self.records.get(id).map(Record::standing);
-        known == Some(Standing::Gone) && !self.all.contains(id)
+        let known = self.registrations.get(id).map(RegistrationState::status);
+        known == Some(Status::Gone) && !self.upstreams.contains(id)
     }
 
     /// Ids whose entries are missing.
     pub fn expired(&self) -> Vec<Id> {
-        let expired = self.all.iter().filter(|(_, u)| u.expired.is_some());
+        let expired = self.upstreams.iter().filter(|(_, u)| u.expired.is_some());
         expired.map(|(id, _)| id.clone()).collect()
     }
 
@@ -288,10 +292,10 @@
     pub fn begin_request(&mut self, instance: &Instance, waiting: u64, fixed: bool) -> Option<&Upstream> {
         let upstream = self.instance_mut(instance)?;
         upstream.running += 1;
-        upstream.fixed += u32::from(fixed);
+        upstream.pinned += u32::from(fixed);
         upstream.waiting += waiting;
         upstream.health.note_sent();
-        self.all.note_requests(&instance.id);
+        self.upstreams.note_requests(&instance.id);
         self.instance(instance)
     }
 
@@ -301,62 +305,62 @@
             return;
         };
         upstream.running = upstream.running.saturating_sub(1);
-        upstream.fixed = upstream.fixed.saturating_sub(u32::from(fixed));
+        upstream.pinned = upstream.pinned.saturating_sub(u32::from(fixed));
         upstream.health.note_inconclusive();
-        self.all.note_requests(&instance.id);
+        self.upstreams.note_requests(&instance.id);
     }
 
     /// Upstreams that have requests of this box.
     pub fn busy(&self) -> impl Iterator<Item = &Upstream> {
-        self.all.busy()
+        self.upstreams.busy()
     }
 
     /// Ids of all that are known.
     pub fn ids(&self) -> Vec<Id> {
-        self.all.iter().map(|(id, _)| id.clone()).collect()
+        self.upstreams.iter().map(|(id, _)| id.clone()).collect()
     }
 
     /// All upstreams.
     pub fn iter(&self) -> impl Iterator<Item = (&Id, &Upstream)> {
-        self.all.iter()
+        self.upstreams.iter()
     }
 
     /// All upstreams, to change them.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut Upstream> {
-        self.all.values_mut()
+        self.upstreams.values_mut()
     }
 
     /// Returns the upstream with an id.
     pub fn get(&self, id: &str) -> Option<&Upstream> {
-        self.all.get(id)
+        self.upstreams.get(id)
     }
 
     /// Returns the upstream with an id, to change it.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut Upstream> {
-        self.all.get_mut(id)
+        self.upstreams.get_mut(id)
     }
 
     /// Returns an instance, unless it has ended.
     pub fn instance(&self, instance: &Instance) -> Option<&Upstream> {
-        self.all
+        self.upstreams
             .get(&instance.id)
             .filter(|upstream| upstream.instance == *instance)
     }
 
     /// Returns an instance, unless it has ended, to change it.
     pub fn instance_mut(&mut self, instance: &Instance) -> Option<&mut Upstream> {
-        self.all
+        self.upstreams
             .get_mut(&instance.id)
             .filter(|upstream| upstream.instance == *instance)
     }
 
     /// Returns an instance by its short name, to change it.
     pub fn by_short_name_mut(&mut self, name: u32) -> Option<&mut Upstream> {
-        self.all.by_short_name_mut(name)
+        self.upstreams.by_short_name_mut(name)
     }
 
     pub(super) fn of_service(&self, service: &str) -> impl Iterator<Item = &Upstream> {
-        self.all.of_service(service)
+        self.upstreams.of_service(service)
     }
 
     /// Applies the end of a request to the health of its upstream.
--- a/crates/jb-relay/src/upstream/pick.rs
+++ b/crates/jb-relay/src/upstream/selection.rs
@@ -9,15 +9,16 @@
 
 struct Holder<'a> {
     instance: &'a Instance,
-    found: u64,
+    cached_tokens: u64,
     weights: u64,
     hall: &'a str,
 }
 
 /// Upstreams that come first for a family, in the order that all boxes agree on.
-fn first<'a>(family: u64, all: impl Iterator<Item = &'a Upstream>, count: usize) -> Vec<Instance> {
-    let (instances, names): (Vec<&Instance>, Vec<u64>) =
-        all.map(|upstream| (&upstream.instance, upstream.name)).unzip();
+fn top_ranked<'a>(family: u64, all: impl Iterator<Item = &'a Upstream>, count: usize) -> Vec<Instance> {
+    let (instances, names): (Vec<&Instance>, Vec<u64>) = all
+        .map(|upstream| (&upstream.instance, upstream.name_hash))
+        .unzip();
     let first = rendezvous::top(family, names.into_iter().enumerate(), count);
     first.into_iter().map(|at| instances[at].clone()).collect()
 }
@@ -26,12 +27,12 @@
     /// Whether a service has upstreams that are left as a last resort.
     pub fn has_last_resort(&self, service: &str, now: Moment) -> bool {
         let mut all = self.of_service(service);
-        all.any(|upstream| upstream.expired.is_some() && upstream.is_open(now))
+        all.any(|upstream| upstream.expired.is_some() && upstream.is_available(now))
     }
 
     /// Returns whether the entries of more than half of a service's upstreams are missing: they expired in
     /// an outage then, and the few that are back first can't serve in place of all.
-    fn mostly_expired(&self, service: &str) -> bool {
+    fn is_mostly_expired(&self, service: &str) -> bool {
         let (mut expired, mut all) = (0, 0);
         for upstream in self.of_service(service) {
             expired += usize::from(upstream.expired.is_some());
@@ -42,18 +43,18 @@
 
     /// Whether an engine that may get requests has a version of a model's weights.
     pub fn has_weights(&self, model: &str, version: u64) -> bool {
-        let has = |u: &Upstream| u.is_there() && u.weights(model).is_some_and(|has| has >= version);
+        let has = |u: &Upstream| u.is_in_rotation() && u.weights(model).is_some_and(|has| has >= version);
         self.iter().any(|(_, upstream)| has(upstream))
     }
 
     /// The engines that come first for a prompt's family, in the order that all boxes agree on.
     pub fn ranked(&self, family: u64, wanted: &Criteria<'_>, count: usize, now: Moment) -> Vec<Instance> {
-        first(family, self.open(wanted, now), count)
+        top_ranked(family, self.available(wanted, now), count)
     }
 
     /// Open engines to which this box has an idle connection, the last used first.
-    pub fn connected(&self, wanted: &Criteria<'_>, count: usize, now: Moment) -> Vec<Instance> {
-        let open = self.open(wanted, now);
+    pub fn with_idle_connections(&self, wanted: &Criteria<'_>, count: usize, now: Moment) -> Vec<Instance> {
+        let open = self.available(wanted, now);
         let idle = open.filter_map(|upstream| Some((upstream.idle.last()?.idle_since, &upstream.instance)));
         let mut all: Vec<(Moment, &Instance)> = idle.collect();
         all.sort_unstable_by(|a, b| b.cmp(a));
@@ -64,7 +65,7 @@
     }
 
     /// The engines that come first for a family among those that can hand parts on.
-    pub fn holders_first(
+    pub fn ranked_exporters(
         &self,
         family: u64,
         wanted: &Criteria<'_>,
@@ -73,13 +74,13 @@
     ) -> Vec<Instance> {
         let all = self
             .of_service(wanted.service)
-            .filter(|upstream| upstream.hands_on(now));
-        first(family, all, count)
+            .filter(|upstream| upstream.can_export(now));
+        top_ranked(family, all, count)
     }
 
     /// The open engine where the fewest requests run among those that are `free`; `None` where it
     /// would be the last one of several that lives.
-    pub fn quietest(
+    pub fn least_loaded(
         &self,
         wanted: &Criteria<'_>,
         instances: impl Fn(&Instance) -> bool,
@@ -88,7 +89,7 @@
     ) -> Option<Instance> {
         let listed = self.of_service(wanted.service).count();
         let open: Vec<&Upstream> = self
-            .open(wanted, now)
+            .available(wanted, now)
             .filter(|upstream| instances(&upstream.instance))
             .collect();
         if listed > 1 && open.len() < 2 {
@@ -96,38 +97,42 @@
         }
         let free = open.into_iter().filter(|upstream| free(&upstream.instance));
         let running = |upstream: &&Upstream| {
-            let fixed = upstream.fixed + upstream.others.fixed;
-            (fixed, upstream.running + upstream.others.running, upstream.name)
+            let fixed = upstream.pinned + upstream.peer_load.pinned;
+            (
+                fixed,
+                upstream.running + upstream.peer_load.running,
+                upstream.name_hash,
+            )
         };
         free.min_by_key(running).map(|upstream| upstream.instance.clone())
     }
 
     /// Other upstreams of an upstream's data hall that seem well.
-    pub fn neighbours(&self, instance: &Instance, count: usize, now: Moment) -> Vec<Instance> {
+    pub fn healthy_in_hall(&self, instance: &Instance, count: usize, now: Moment) -> Vec<Instance> {
         let Some(hall) = self.instance(instance).map(|upstream| &upstream.entry.hall) else {
             return Vec::new();
         };
         let all = self.iter().map(|(_, upstream)| upstream);
         let near = all.filter(|upstream| upstream.entry.hall == *hall && upstream.instance != *instance);
-        let well = near.filter(|upstream| upstream.is_there() && now >= upstream.ended_until);
+        let well = near.filter(|upstream| upstream.is_in_rotation() && now >= upstream.down_until);
         well.take(count)
             .map(|upstream| upstream.instance.clone())
             .collect()
     }
 
     /// When the first upstream is back, where all that could get the request back off or are limited.
-    pub fn first_back(&self, wanted: &Criteria<'_>, now: Moment) -> Option<Moment> {
-        let ends = self.willing(wanted, now).map(Upstream::held_back_until);
+    pub fn next_available_at(&self, wanted: &Criteria<'_>, now: Moment) -> Option<Moment> {
+        let ends = self.eligible(wanted, now).map(Upstream::throttled_until);
         ends.min().filter(|first| *first > now)
     }
 
-    fn open<'a>(&'a self, wanted: &'a Criteria<'_>, now: Moment) -> impl Iterator<Item = &'a Upstream> {
-        let willing = self.willing(wanted, now);
-        willing.filter(move |upstream| !upstream.is_held_back(now))
+    fn available<'a>(&'a self, wanted: &'a Criteria<'_>, now: Moment) -> impl Iterator<Item = &'a Upstream> {
+        let willing = self.eligible(wanted, now);
+        willing.filter(move |upstream| !upstream.is_throttled(now))
     }
 
     /// Upstreams that may get a request, those that back off or are limited included.
-    fn willing<'a>(&'a self, wanted: &'a Criteria<'_>, now: Moment) -> impl Iterator<Item = &'a Upstream> {
+    fn eligible<'a>(&'a self, wanted: &'a Criteria<'_>, now: Moment) -> impl Iterator<Item = &'a Upstream> {
         let all = self.of_service(wanted.service);
         let untried = all.filter(|upstream| !wanted.excluded.contains(&upstream.instance));
         let reached = untried.filter(|upstream| {
@@ -135,10 +140,10 @@
                 .avoided_halls
                 .includes(&upstream.entry.hall, wanted.own_hall)
         });
-        let all = wanted.last_resort || self.mostly_expired(wanted.service);
+        let all = wanted.last_resort || self.is_mostly_expired(wanted.service);
         let sure = reached.filter(move |upstream| all || upstream.expired.is_none());
-        let willing = sure.filter(move |upstream| upstream.is_open_later(now));
-        willing.filter(move |upstream| self.is_in_time(upstream, wanted, now))
+        let willing = sure.filter(move |upstream| upstream.is_eligible(now));
+        willing.filter(move |upstream| self.may_use_weights(upstream, wanted, now))
     }
 
     /// Candidates of a service that may get a request, with their lives.
@@ -151,15 +156,15 @@
             let others = holders
                 .iter()
                 .filter(|holder| *holder.instance != upstream.instance && Some(holder.weights) == has);
-            candidate.peer_cached_tokens = others.map(|holder| holder.found).max().unwrap_or(0);
+            candidate.peer_cached_tokens = others.map(|holder| holder.cached_tokens).max().unwrap_or(0);
             (upstream.instance.clone(), candidate)
         };
-        self.open(wanted, now).map(candidate).unzip()
+        self.available(wanted, now).map(candidate).unzip()
     }
 
     /// Whether an engine's weights are still in their time. Those that were replaced before the
     /// box's start are, until an engine has the newest: then it was not just now.
-    fn is_in_time(&self, upstream: &Upstream, wanted: &Criteria<'_>, now: Moment) -> bool {
+    fn may_use_weights(&self, upstream: &Upstream, wanted: &Criteria<'_>, now: Moment) -> bool {
         let Some(model) = wanted.model else { return true };
         let Some(has) = upstream.weights(model) else {
             return true;
@@ -172,19 +177,19 @@
     }
 
     /// The engine that a prompt's parts are best brought from to another one.
-    pub fn source(&self, target: &Instance, wanted: &Criteria<'_>, now: Moment) -> Option<CacheSource> {
+    pub fn cache_source(&self, target: &Instance, wanted: &Criteria<'_>, now: Moment) -> Option<CacheSource> {
         let upstream = self.instance(target)?;
         let has = wanted.model.and_then(|model| upstream.weights(model))?;
         let found = upstream.cache.cached_tokens(wanted.demand.prompt);
         let holders = self.holders(wanted, now);
         let better = holders
             .iter()
-            .filter(|h| h.weights == has && h.found > found && h.instance != target);
-        let best = better.max_by_key(|h| (h.found, h.hall == upstream.entry.hall))?;
+            .filter(|h| h.weights == has && h.cached_tokens > found && h.instance != target);
+        let best = better.max_by_key(|h| (h.cached_tokens, h.hall == upstream.entry.hall))?;
         let address = self.instance(best.instance)?.entry.address;
         Some(CacheSource {
             address,
-            tokens: best.found - found,
+            extra_tokens: best.cached_tokens - found,
         })
     }
 
@@ -197,10 +202,10 @@
         for upstream in self.of_service(wanted.service) {
             let found = upstream.cache.cached_tokens(wanted.demand.prompt);
             let weights = upstream.weights(model);
-            if let Some(weights) = weights.filter(|_| found > 0 && upstream.hands_on(now)) {
+            if let Some(weights) = weights.filter(|_| found > 0 && upstream.can_export(now)) {
                 holders.push(Holder {
                     instance: &upstream.instance,
-                    found,
+                    cached_tokens: found,
                     weights,
                     hall: &upstream.entry.hall,
                 });
--- a/crates/jb-relay/src/upstream/state.rs
+++ b/crates/jb-relay/src/upstream/state.rs
@@ -31,29 +31,29 @@
     /// Whether its present entry can't be read.
     pub unreadable: bool,
     /// Hash that names the instance, also for the choice.
-    pub name: u64,
+    pub name_hash: u64,
     /// Record of failures.
     pub health: Health,
     /// Requests of this box under way there.
     pub running: u32,
     /// Those of them that cannot go on at another upstream.
-    pub fixed: u32,
+    pub pinned: u32,
     /// Prompt tokens of this box that wait for their first token there.
     pub waiting: u64,
     /// The same of all other boxes, by their last status.
-    pub others: Load,
+    pub peer_load: Load,
     /// Backoff that it has asked this box for.
     pub backoff: Backoff,
     /// Rate limit that it has announced for all boxes together.
-    pub limit: Limit,
+    pub rate_limit: Limit,
     /// Until when it gets nothing because it loads weights.
     pub loading_until: Moment,
     /// Until when it counts as ended, as it refuses connections.
-    pub ended_until: Moment,
+    pub down_until: Moment,
     /// Until when its entry, which is missing after an outage of the store, may come back.
     pub expired: Option<Moment>,
     /// Whether another instance answers at its address.
-    pub refused: bool,
+    pub replaced: bool,
     /// Whether another box has reported that it drains.
     pub draining_by_peer: bool,
     /// Model of its prefix cache.
@@ -70,7 +70,7 @@
     /// Requests under way.
     pub running: u32,
     /// Those of them that cannot go on at another upstream.
-    pub fixed: u32,
+    pub pinned: u32,
     /// Prompt tokens that wait for their first token.
     pub waiting: u64,
 }
@@ -78,21 +78,21 @@
 impl Upstream {
     pub(super) fn new(instance: Instance, entry: Entry) -> Self {
         Self {
-            name: instance.name(),
+            name_hash: instance.name_hash(),
             instance,
             entry,
             unreadable: false,
             health: Health::default(),
             running: 0,
-            fixed: 0,
+            pinned: 0,
             waiting: 0,
-            others: Load::default(),
+            peer_load: Load::default(),
             backoff: Backoff::default(),
-            limit: Limit::default(),
+            rate_limit: Limit::default(),
             loading_until: Moment::ZERO,
-            ended_until: Moment::ZERO,
+            down_until: Moment::ZERO,
             expired: None,
-            refused: false,
+            replaced: false,
             draining_by_peer: false,
             cache: PrefixCache::default(),
             account: Reservations::default(),
@@ -116,31 +116,31 @@
     }
 
     /// Returns whether it neither drains nor has an unreadable entry.
-    pub fn is_there(&self) -> bool {
+    pub fn is_in_rotation(&self) -> bool {
         !self.entry.draining && !self.draining_by_peer && !self.unreadable
     }
 
     /// Whether it may get a new request.
-    pub fn is_open(&self, now: Moment) -> bool {
-        self.is_open_later(now) && !self.is_held_back(now)
+    pub fn is_available(&self, now: Moment) -> bool {
+        self.is_eligible(now) && !self.is_throttled(now)
     }
 
     /// Whether it accepts nothing from this box for the moment: it asked for backoff, or its rate limit is
     /// used up.
-    pub(super) fn is_held_back(&self, now: Moment) -> bool {
-        self.backoff.blocks(self.running, now) || self.limit.is_blocked(now)
+    pub(super) fn is_throttled(&self, now: Moment) -> bool {
+        self.backoff.blocks(self.running, now) || self.rate_limit.is_blocked(now)
     }
 
     /// When it accepts requests again.
-    pub(super) fn held_back_until(&self) -> Moment {
-        self.backoff.until().max(self.limit.blocked_until())
+    pub(super) fn throttled_until(&self) -> Moment {
+        self.backoff.until().max(self.rate_limit.blocked_until())
     }
 
     /// Whether it may get a new request once it isn't held back any more.
-    pub fn is_open_later(&self, now: Moment) -> bool {
-        let busy = now < self.loading_until || now < self.ended_until;
+    pub fn is_eligible(&self, now: Moment) -> bool {
+        let busy = now < self.loading_until || now < self.down_until;
         let comes_back = self.expired.is_none_or(|until| now < until);
-        comes_back && self.is_there() && !self.refused && !busy && self.health.is_available(now)
+        comes_back && self.is_in_rotation() && !self.replaced && !busy && self.health.is_available(now)
     }
 
     /// Whether it has asked for a backoff that isn't over.
@@ -149,9 +149,13 @@
     }
 
     /// Whether another engine can take parts from it.
-    pub(super) fn hands_on(&self, now: Moment) -> bool {
+    pub(super) fn can_export(&self, now: Moment) -> bool {
         let loads = now < self.loading_until;
-        !loads && !self.refused && !self.unreadable && self.expired.is_none() && self.health.is_available(now)
+        !loads
+            && !self.replaced
+            && !self.unreadable
+            && self.expired.is_none()
+            && self.health.is_available(now)
     }
 
     /// Last known version of a model's weights.
@@ -170,24 +174,24 @@
     }
 
     /// Sets the engine's memory; requests run in a part of it.
-    pub fn set_memory(&mut self, tokens: u64) {
+    pub fn set_kv_capacity(&mut self, tokens: u64) {
         self.cache.set_capacity(tokens * CACHE_PERCENT / 100);
     }
 
     /// Notes that it seems to have ended, as it refuses connections.
-    pub fn note_end(&mut self, now: Moment) {
-        self.ended_until = now + ENDED_PAUSE;
+    pub fn mark_down(&mut self, now: Moment) {
+        self.down_until = now + ENDED_PAUSE;
     }
 
     pub(crate) fn candidate(&self, wanted: &Criteria<'_>, behind: bool) -> Candidate {
         let hall = wanted.own_hall;
         let demand = &wanted.demand;
         Candidate {
-            name_hash: self.name,
+            name_hash: self.name_hash,
             own_hall: self.entry.hall == hall,
-            running: self.running + self.others.running,
+            running: self.running + self.peer_load.running,
             slots: self.entry.slots,
-            queued_tokens: self.waiting + self.others.waiting,
+            queued_tokens: self.waiting + self.peer_load.waiting,
             cached_tokens: self.cache.cached_tokens(demand.prompt),
             peer_cached_tokens: 0,
             has_stale_weights: behind,
--- a/crates/jb-relay/src/upstream/table.rs
+++ b/crates/jb-relay/src/upstream/table.rs
@@ -34,7 +34,7 @@
         });
         self.by_id.insert(upstream.instance.id.clone(), slot);
         self.by_short_name
-            .insert(rendezvous::short_hash(upstream.name), slot);
+            .insert(rendezvous::short_hash(upstream.name_hash), slot);
         let service = upstream.entry.service.clone();
         self.by_service.entry(service).or_default().push(slot);
         self.upstreams[slot] = Some(upstream);
@@ -44,7 +44,7 @@
     pub fn remove(&mut self, id: &str) -> Option<Upstream> {
         let slot = self.by_id.remove(id)?;
         let upstream = self.upstreams[slot].take()?;
-        let name = rendezvous::short_hash(upstream.name);
+        let name = rendezvous::short_hash(upstream.name_hash);
         if self.by_short_name.get(&name) == Some(&slot) {
             self.by_short_name.remove(&name);
         }
--- a/crates/jb-relay/tests/instances.rs
+++ b/crates/jb-relay/tests/instances.rs
@@ -49,7 +49,7 @@
 fn is_open(registry: &Registry) -> bool {
     registry
         .get("engine")
-        .is_some_and(|upstream| upstream.is_open(NOW))
+        .is_some_and(|upstream| upstream.is_available(NOW))
 }
 
 /// All that was believed of an engine was believed of the next one under its id.
@@ -63,7 +63,7 @@
     let instance = registry.get("engine").expect("known").instance.clone();
     let known = registry.instance_mut(&instance).expect("its life");
     known.running = 3;
-    known.refused = true;
+    known.replaced = true;
     known.backoff.observe(asks_for(NOW * 2), 1, NOW);
     assert!(
         matches!(registry.apply_registration("engine", entry(Some(SECOND), false), at(2)), Transition::Restarted(ended)
@@ -71,7 +71,7 @@
     );
     let again = registry.get("engine").expect("known");
     assert_eq!(
-        (again.running, again.refused, again.is_open(NOW)),
+        (again.running, again.replaced, again.is_available(NOW)),
         (0, false, true)
     );
     // The request that ends only now was one of the life before.
@@ -211,7 +211,7 @@
     }
     let names: Vec<u32> = registry
         .iter()
-        .map(|(_, u)| rendezvous::short_hash(u.name))
+        .map(|(_, u)| rendezvous::short_hash(u.name_hash))
         .collect();
     let received = names.iter().map(|name| registry.note_draining(&[*name]).len());
     assert_eq!(received.sum::<usize>(), 3);
@@ -227,7 +227,7 @@
         let instance = registry.get(id).expect("known").instance.clone();
         registry.observe_signals(&instance, leaves());
     }
-    assert!(registry.iter().all(|(_, upstream)| !upstream.is_open(NOW)));
+    assert!(registry.iter().all(|(_, upstream)| !upstream.is_available(NOW)));
 }
 
 /// Revision of the first era.
@@ -268,7 +268,7 @@
             }
         }
         Step::Replaced(started_at) => {
-            registry.note_replaced(&[rendezvous::short_hash(instance(*started_at).name())])
+            registry.note_replaced(&[rendezvous::short_hash(instance(*started_at).name_hash())])
         }
         Step::Answer(started_at) => {
             registry.observe_signals(&instance(*started_at), leaves());
@@ -290,7 +290,7 @@
     let upstream = registry.get("engine")?;
     // An upstream that is not to be used is as good as none.
     upstream
-        .is_open(NOW)
+        .is_available(NOW)
         .then_some((upstream.instance.started_at, true))
 }
 
@@ -329,11 +329,11 @@
     let mut registry = Registry::default();
     registry.apply_registration("engine", entry(Some(FIRST), false), at(1));
     let known = registry.get_mut("engine").expect("known");
-    known.limit.observe(Announcement::Limited(1.5), None, NOW);
+    known.rate_limit.observe(Announcement::Limited(1.5), None, NOW);
     registry.apply_registration("engine", Registration::Gone, at(2));
     registry.remove("engine");
     registry.apply_registration("engine", entry(Some(FIRST), false), at(3));
-    let rate = |registry: &Registry| registry.get("engine").expect("known").limit.rate();
+    let rate = |registry: &Registry| registry.get("engine").expect("known").rate_limit.rate();
     assert_eq!(rate(&registry), Some(1.5));
     registry.apply_registration("engine", entry(Some(SECOND), false), at(4));
     assert_eq!(rate(&registry), None);
