--- a/crates/jb-relay/src/upstream/criteria.rs
+++ b/crates/jb-relay/src/upstream/criteria.rs
@@ -1,4 +1,4 @@
-//! What a request asks of the choice, and where its prompt's parts come from.
+//! Criteria by which upstreams are selected for a request, and the source of a KV cache transfer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,34 +9,34 @@
 
 use super::Instance;
 
-/// What a request asks of the choice.
+/// Criteria by which upstreams are selected for a request.
 #[derive(Clone, Debug)]
 pub struct Criteria<'a> {
-    /// Service.
+    /// Service that the request is routed to.
     pub service: &'a str,
-    /// Model that it names.
+    /// Requested model; `None` if the request names none.
     pub model: Option<&'a str>,
-    /// Versions of the model's weights that were named.
+    /// Released versions of the model's weights.
     pub weights: History,
-    /// Time after which weights get nothing any more.
+    /// Time after a release for which engines with older weights still receive requests.
     pub weights_time: Duration,
-    /// Own data hall.
+    /// Data hall of this box.
     pub own_hall: &'a str,
-    /// Its prompt and size.
+    /// Prompt and size of the request.
     pub demand: Demand<'a>,
-    /// Upstreams that were tried.
+    /// Instances that were already tried.
     pub excluded: &'a [Instance],
-    /// Whether upstreams count that may be gone, as their entries are missing.
+    /// Whether to include upstreams whose entries are missing and which may have ended.
     pub last_resort: bool,
-    /// Data halls whose upstreams don't count.
+    /// Data halls whose upstreams are excluded.
     pub avoided_halls: Avoided,
 }
 
-/// Where parts of a prompt are brought from.
+/// Engine from which cached segments of a prompt are transferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheSource {
-    /// Address.
+    /// Address of the engine.
     pub address: SocketAddr,
-    /// Tokens that it has beyond the target's own.
+    /// Cached tokens of the prompt beyond those that the target has.
     pub extra_tokens: u64,
 }
--- a/crates/jb-relay/src/upstream/registration.rs
+++ b/crates/jb-relay/src/upstream/registration.rs
@@ -1,33 +1,33 @@
-//! What is known of one id in the store, whatever the order in which it is received.
+//! Registration state of one upstream id, independent of the order in which registrations are received.
 //!
-//! Pages of one read are of different ages, other boxes send changes again, and an upstream that has ended
-//! may still have a write in flight. So the state follows from the set of registrations: of two instances
-//! the one that started later, of its registrations the one with the higher revision. An instance that has
-//! begun to drain never stops draining.
+//! Pages of one read can have different ages, other boxes send changes again, and an upstream that has ended
+//! may still have a write in flight. The state is therefore a function of the set of registrations: the
+//! instance with the latest start time wins, and of its registrations the one with the highest revision. An
+//! instance that has begun to drain never stops draining.
 
 use crate::port::{Entry, Registration, Revision, StartTime};
 
-/// State of an id.
+/// Registration status of an id.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Status {
-    /// Nothing is known.
+    /// No registration has been received.
     Unknown,
-    /// There is an upstream.
+    /// An upstream is registered.
     Registered(Entry),
-    /// The entry can't be used.
+    /// The entry can't be decoded.
     Unreadable,
-    /// There is no entry.
+    /// The entry was removed.
     Gone,
 }
 
-/// All that is known of an id.
+/// Merged registrations of an id.
 #[derive(Clone, Debug, Default)]
 pub struct RegistrationState {
     /// Latest entry of the latest instance.
     entry: Option<(Revision, Entry)>,
-    /// Start of the latest instance that drains.
+    /// Start time of the latest instance that drains.
     draining_from: Option<Option<StartTime>>,
-    /// Latest registration without an entry.
+    /// Latest registration without a usable entry.
     absence: Option<(Revision, Absence)>,
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl RegistrationState {
-    /// Applies a registration.
+    /// Merges a registration.
     pub fn merge(&mut self, registration: Registration, revision: Revision) {
         match registration {
             Registration::Entry(entry) => self.merge_entry(entry, revision),
@@ -63,14 +63,14 @@
         }
     }
 
-    /// Notes that an instance drains, as the store or a response says.
+    /// Records that an instance drains, as reported by the store or in a response.
     pub fn note_draining(&mut self, started_at: Option<StartTime>) {
         self.draining_from = self.draining_from.max(Some(started_at));
     }
 
-    /// Returns whether an instance drains; it does when a later one does, as it has ended then.
+    /// Returns whether an instance drains. It does if a later one drains, because it has ended by then.
     pub fn is_draining(&self, started_at: Option<StartTime>) -> bool {
-        self.draining_from.is_some_and(|left| left >= started_at)
+        self.draining_from.is_some_and(|from| from >= started_at)
     }
 
     fn merge_other(&mut self, other: Absence, revision: Revision) {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Returns the state.
+    /// Returns the status that results from all merged registrations.
     pub fn status(&self) -> Status {
         let other = self.absence.map(|(revision, _)| revision).unwrap_or_default();
         match (&self.entry, self.absence) {
@@ -93,12 +93,12 @@
         }
     }
 
-    /// Start of the latest instance.
+    /// Returns the start time of the latest instance; `None` if it has none or no entry is known.
     pub fn started_at(&self) -> Option<StartTime> {
         self.entry.as_ref().and_then(|(_, entry)| entry.started_at)
     }
 
-    /// Revision of the last registration.
+    /// Returns the highest revision of all registrations.
     pub fn revision(&self) -> Revision {
         let entry = self.entry.as_ref().map(|(revision, _)| *revision);
         let other = self.absence.map(|(revision, _)| revision);
--- a/crates/jb-relay/src/upstream/registry.rs
+++ b/crates/jb-relay/src/upstream/registry.rs
@@ -1,4 +1,4 @@
-//! All upstreams that a box knows: their registrations, and the present instance of each.
+//! Registry of all known upstreams: their registrations, and the current instance of each.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,68 +14,68 @@
 use super::{Id, Instance, Upstream};
 use crate::port::{Entry, Registration, Revision, StartTime};
 
-/// Deregistered ids whose records are remembered at least, so that late registrations change nothing. Beyond
-/// that, of this and the next two, as many are remembered as there are upstreams: a whole data hall can go at once.
+/// Minimum number of deregistered ids whose registration state is kept, so that late registrations have no effect.
+/// This and the next two bounds grow to the number of upstreams, because a whole data hall can go at once.
 const MIN_DEREGISTERED: usize = 512;
-/// Instances that have gone of which the constraints are remembered at least: an entry comes back within seconds.
+/// Minimum number of removed instances whose constraints are kept: an entry can reappear within seconds.
 const MIN_CONSTRAINTS: usize = 64;
-/// Replaced instances that are remembered at least, where another box reports them before the store does.
+/// Minimum number of replaced instances that are kept, as another box can report them before the store does.
 const MIN_REPLACED: usize = 64;
 
-/// Drops the oldest entries beyond a length.
+/// Removes the oldest entries beyond `most`.
 fn evict_oldest<T>(entries: &mut VecDeque<T>, most: usize) {
     let excess = entries.len().saturating_sub(most);
     entries.drain(..excess);
 }
 
-/// All upstreams.
+/// All known upstreams.
 #[derive(Debug, Default)]
 pub struct Registry {
     upstreams: Table,
     registrations: BTreeMap<Id, RegistrationState>,
-    /// Ids that were deregistered, the last one at the end; some may be back.
+    /// Ids that were deregistered, the latest last; some may have registered again.
     deregistered: VecDeque<Id>,
-    /// Short names of instances at whose addresses others answer, the latest at the end.
+    /// Short names of instances at whose addresses other instances respond, the latest last.
     replaced: VecDeque<u32>,
-    /// Constraints of instances whose entries have gone, the last one to go at the end.
+    /// Constraints of instances whose entries were removed, the latest last.
     constraints: VecDeque<Constraints>,
-    /// Whether upstreams register their start: an entry without it has another writer then.
+    /// Whether upstreams register their start time. If they do, an entry without one is from another writer.
     has_start_times: bool,
 }
 
-/// What an instance has asked its callers for.
+/// Backoff and rate limit that an instance has requested from its clients.
 #[derive(Clone, Debug)]
 struct Constraints {
     instance: Instance,
     backoff: Backoff,
-    limit: Limit,
+    rate_limit: Limit,
 }
 
-/// Change by a registration.
+/// Change in the registry caused by a registration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transition {
-    /// Nothing that matters for the choice.
+    /// Nothing that affects selection.
     Unchanged,
-    /// An upstream is there.
+    /// An upstream was added.
     Added,
-    /// An upstream has started again.
+    /// An upstream has restarted.
     Restarted(EndedInstance),
-    /// It has begun to leave.
+    /// An upstream has begun to drain.
     Draining,
-    /// Its entry is missing.
+    /// The entry of an upstream is missing.
     Missing,
-    /// Its entry names no upstream to use.
+    /// The entry of an upstream can't be used.
     Unreadable,
 }
 
 /// An instance that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndedInstance {
-    /// Its start.
+    /// Start time, if known.
     pub started_at: Option<StartTime>,
-    /// Requests of this box that were under way there.
+    /// Requests of this box that were in progress.
     pub running: u32,
-    /// Idle connections.
+    /// Idle connections that this box had to it.
     pub idle: usize,
 }
 
@@ -90,17 +90,17 @@
 }
 
 impl Registry {
-    /// Applies a registration. A missing entry is left to the caller, as it may come back.
+    /// Applies a registration. Removal of a missing entry is left to the caller, as the entry may reappear.
     pub fn apply_registration(
         &mut self,
         id: &str,
         registration: Registration,
         revision: Revision,
     ) -> Transition {
-        let records = self.registrations.entry(id.to_owned()).or_default();
-        let before = records.status();
-        records.merge(registration, revision);
-        let now = records.status();
+        let state = self.registrations.entry(id.to_owned()).or_default();
+        let before = state.status();
+        state.merge(registration, revision);
+        let now = state.status();
         if now == before {
             return Transition::Unchanged;
         }
@@ -112,19 +112,19 @@
         }
     }
 
-    /// Applies the signals of a response; returns whether the instance has begun to drain. Its entry may
-    /// still name it as ready, or be missing and come back.
+    /// Applies the signals of a response and returns whether the instance has begun to drain. Draining is kept
+    /// with the registration state, as the entry may still show the instance as ready, or be missing and reappear.
     pub fn observe_signals(&mut self, instance: &Instance, signals: Signals) -> bool {
-        let records = self.registrations.entry(instance.id.clone()).or_default();
+        let state = self.registrations.entry(instance.id.clone()).or_default();
         if signals.draining {
-            records.note_draining(instance.started_at);
+            state.note_draining(instance.started_at);
         }
         let Some(known) = self.upstreams.get_mut(&instance.id) else {
             return false;
         };
-        let leaves = records.is_draining(known.instance.started_at);
-        let new = leaves && known.is_in_rotation();
-        known.entry.draining |= leaves;
+        let is_draining = state.is_draining(known.instance.started_at);
+        let new = is_draining && known.is_in_rotation();
+        known.entry.draining |= is_draining;
         new
     }
 
@@ -133,13 +133,13 @@
         if self.has_start_times && entry.started_at.is_none() {
             return self.mark_unreadable(id);
         }
-        let same_life = |known: &&mut Upstream| known.instance.started_at == entry.started_at;
-        if let Some(known) = self.upstreams.get_mut(id).filter(same_life)
+        let same_instance = |known: &&mut Upstream| known.instance.started_at == entry.started_at;
+        if let Some(known) = self.upstreams.get_mut(id).filter(same_instance)
             && known.entry.service == entry.service
         {
-            let leaves = entry.draining && !known.entry.draining;
+            let begins_to_drain = entry.draining && !known.entry.draining;
             known.update(entry);
-            return if leaves {
+            return if begins_to_drain {
                 Transition::Draining
             } else {
                 Transition::Unchanged
@@ -150,7 +150,7 @@
         before.map_or(Transition::Added, Transition::Restarted)
     }
 
-    /// From the first upstream on that registers its start, entries without it can't be used.
+    /// Marks entries without a start time as unusable once the first upstream registers one.
     fn note_start_time(&mut self, entry: &Entry) {
         if entry.started_at.is_none() || self.has_start_times {
             return;
@@ -167,7 +167,7 @@
             started_at: entry.started_at,
         };
         let mut upstream = Upstream::new(instance, entry);
-        // Without start times, an id that is back may have its address back as well.
+        // Without start times, an upstream that registers again may also have its previous address again.
         let is_replaced = upstream.instance.started_at.is_some()
             && self
                 .replaced
@@ -175,7 +175,7 @@
         upstream.replaced |= is_replaced;
         let known = self.constraints.iter().rev();
         if let Some(known) = known.clone().find(|known| known.instance == upstream.instance) {
-            (upstream.backoff, upstream.rate_limit) = (known.backoff, known.limit);
+            (upstream.backoff, upstream.rate_limit) = (known.backoff, known.rate_limit);
         }
         self.upstreams.insert(upstream);
     }
@@ -187,7 +187,7 @@
         Transition::Unreadable
     }
 
-    /// Notes that an entry is missing and may come back until a moment; whether that is new.
+    /// Marks an entry as missing, possibly to reappear before `until`; returns whether it was present before.
     pub fn expire(&mut self, id: &str, until: Moment) -> bool {
         let Some(known) = self.upstreams.get_mut(id) else {
             return false;
@@ -197,7 +197,7 @@
         new
     }
 
-    /// Takes an upstream off; `None` when it is not known.
+    /// Removes an upstream; `None` if it is not known.
     pub fn remove(&mut self, id: &str) -> Option<EndedInstance> {
         let known = self.upstreams.remove(id);
         self.deregistered.push_back(id.to_owned());
@@ -206,13 +206,13 @@
         self.constraints.push_back(Constraints {
             instance: known.instance.clone(),
             backoff: known.backoff,
-            limit: known.rate_limit,
+            rate_limit: known.rate_limit,
         });
         evict_oldest(&mut self.constraints, MIN_CONSTRAINTS.max(self.upstreams.len()));
         Some(EndedInstance::of(&known))
     }
 
-    /// Evicts the oldest records of deregistered upstreams.
+    /// Evicts the oldest registration states of deregistered upstreams.
     fn evict_registrations(&mut self) {
         while self.deregistered.len() > MIN_DEREGISTERED.max(self.upstreams.len()) {
             let oldest = self.deregistered.pop_front();
@@ -222,8 +222,8 @@
         }
     }
 
-    /// Ends an instance that is over by evidence other than the store. The next one gets requests once its
-    /// entry is there, or right away where upstreams don't register their start.
+    /// Ends an instance that is known to have ended from a source other than the store. The next instance receives
+    /// requests once its entry is registered, or at once where upstreams don't register start times.
     pub fn end(&mut self, instance: &Instance) -> Option<EndedInstance> {
         let known = self.instance_mut(instance)?;
         let ended = EndedInstance::of(known);
@@ -234,7 +234,7 @@
         Some(ended)
     }
 
-    /// Notes instances at whose addresses others answer, as other boxes report.
+    /// Records instances at whose addresses other instances respond, as reported by other boxes.
     pub fn note_replaced(&mut self, names: &[u32]) {
         for &name in names {
             if let Some(upstream) = self.by_short_name_mut(name) {
@@ -245,9 +245,10 @@
         evict_oldest(&mut self.replaced, MIN_REPLACED.max(self.upstreams.len()));
     }
 
-    /// Notes instances that drain, as other boxes report; returns those that are taken out.
+    /// Records instances that drain, as reported by other boxes; returns those newly taken out of rotation.
     ///
-    /// Reports of other boxes take out at most half of a service, so that one faulty box can't empty it.
+    /// Reports of other boxes take at most half of a service out of rotation, so that one faulty box can't take
+    /// out all of it.
     pub fn note_draining(&mut self, names: &[u32]) -> Vec<Instance> {
         let named = names
             .iter()
@@ -275,86 +276,86 @@
         taken
     }
 
-    /// Returns whether an upstream was there and its entry has gone.
+    /// Returns whether an upstream was registered and its entry has been removed.
     pub fn is_deregistered(&self, id: &str) -> bool {
         let known = self.registrations.get(id).map(RegistrationState::status);
         known == Some(Status::Gone) && !self.upstreams.contains(id)
     }
 
-    /// Ids whose entries are missing.
+    /// Returns the ids whose entries are missing.
     pub fn expired(&self) -> Vec<Id> {
         let expired = self.upstreams.iter().filter(|(_, u)| u.expired.is_some());
         expired.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Counts a request of this box at an instance, with its tokens that wait and whether it can't go on elsewhere;
-    /// `None` when the instance has ended.
-    pub fn begin_request(&mut self, instance: &Instance, waiting: u64, fixed: bool) -> Option<&Upstream> {
+    /// Adds a request of this box at an instance, with its waiting prompt tokens and whether it is pinned there;
+    /// `None` if the instance has ended.
+    pub fn begin_request(&mut self, instance: &Instance, waiting: u64, pinned: bool) -> Option<&Upstream> {
         let upstream = self.instance_mut(instance)?;
         upstream.running += 1;
-        upstream.pinned += u32::from(fixed);
+        upstream.pinned += u32::from(pinned);
         upstream.waiting += waiting;
         upstream.health.note_sent();
         self.upstreams.note_requests(&instance.id);
         self.instance(instance)
     }
 
-    /// Takes a request of this box back that no longer waits.
-    pub fn end_request(&mut self, instance: &Instance, fixed: bool) {
+    /// Removes a request of this box whose tokens no longer wait.
+    pub fn end_request(&mut self, instance: &Instance, pinned: bool) {
         let Some(upstream) = self.instance_mut(instance) else {
             return;
         };
         upstream.running = upstream.running.saturating_sub(1);
-        upstream.pinned = upstream.pinned.saturating_sub(u32::from(fixed));
+        upstream.pinned = upstream.pinned.saturating_sub(u32::from(pinned));
         upstream.health.note_inconclusive();
         self.upstreams.note_requests(&instance.id);
     }
 
-    /// Upstreams that have requests of this box.
+    /// Returns the upstreams that have requests of this box.
     pub fn busy(&self) -> impl Iterator<Item = &Upstream> {
         self.upstreams.busy()
     }
 
-    /// Ids of all that are known.
+    /// Returns the ids of all upstreams.
     pub fn ids(&self) -> Vec<Id> {
         self.upstreams.iter().map(|(id, _)| id.clone()).collect()
     }
 
-    /// All upstreams.
+    /// Returns all upstreams, ordered by id.
     pub fn iter(&self) -> impl Iterator<Item = (&Id, &Upstream)> {
         self.upstreams.iter()
     }
 
-    /// All upstreams, to change them.
+    /// Returns mutable references to all upstreams.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut Upstream> {
         self.upstreams.values_mut()
     }
 
-    /// Returns the upstream with an id.
+    /// Returns the upstream with this id.
     pub fn get(&self, id: &str) -> Option<&Upstream> {
         self.upstreams.get(id)
     }
 
-    /// Returns the upstream with an id, to change it.
+    /// Returns a mutable reference to the upstream with this id.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut Upstream> {
         self.upstreams.get_mut(id)
     }
 
-    /// Returns an instance, unless it has ended.
+    /// Returns the upstream of an instance; `None` if the instance has ended.
     pub fn instance(&self, instance: &Instance) -> Option<&Upstream> {
         self.upstreams
             .get(&instance.id)
             .filter(|upstream| upstream.instance == *instance)
     }
 
-    /// Returns an instance, unless it has ended, to change it.
+    /// Returns a mutable reference to the upstream of an instance; `None` if the instance has ended.
     pub fn instance_mut(&mut self, instance: &Instance) -> Option<&mut Upstream> {
         self.upstreams
             .get_mut(&instance.id)
             .filter(|upstream| upstream.instance == *instance)
     }
 
-    /// Returns an instance by its short name, to change it.
+    /// Returns a mutable reference to the upstream whose current instance has this short name.
     pub fn by_short_name_mut(&mut self, name: u32) -> Option<&mut Upstream> {
         self.upstreams.by_short_name_mut(name)
     }
@@ -363,12 +364,12 @@
         self.upstreams.of_service(service)
     }
 
-    /// Applies the end of a request to the health of its upstream.
-    pub fn record_outcome(&mut self, instance: &Instance, well: bool, now: Moment) -> Change {
+    /// Applies the outcome of a request to the health of its upstream.
+    pub fn record_outcome(&mut self, instance: &Instance, success: bool, now: Moment) -> Change {
         let Some(upstream) = self.instance_mut(instance) else {
             return Change::None;
         };
-        if well {
+        if success {
             upstream.health.note_success()
         } else {
             upstream.health.note_failure(now)
--- a/crates/jb-relay/src/upstream/state.rs
+++ b/crates/jb-relay/src/upstream/state.rs
@@ -1,4 +1,4 @@
-//! One upstream as a box sees it.
+//! State of one upstream as observed by this box.
 
 use std::time::Duration;
 
@@ -14,64 +14,64 @@
 use crate::pool::IdleConnection;
 use crate::port::Entry;
 
-/// Time for which an upstream that refuses connections after one was lost gets nothing: as long as the first
-/// two pauses after failures.
-const ENDED_PAUSE: Duration = Duration::from_secs(1);
+/// Time for which an upstream that refuses connections after losing one receives no requests: as long as the
+/// first two pauses after failures.
+const DOWN_TIME: Duration = Duration::from_secs(1);
 
-/// Percent of an engine's memory that caches segments while requests run in the rest.
+/// Percent of an engine's KV memory that holds cached segments; running requests use the rest.
 const CACHE_PERCENT: u64 = 90;
 
-/// One instance of an upstream, with everything that holds for it alone.
+/// One instance of an upstream, with all state that ends with it.
 #[derive(Debug)]
 pub struct Upstream {
-    /// Instance.
+    /// Identity of the instance.
     pub instance: Instance,
-    /// Its last readable entry in the store.
+    /// Last readable entry in the store.
     pub entry: Entry,
-    /// Whether its present entry can't be read.
+    /// Whether the current entry can't be decoded.
     pub unreadable: bool,
-    /// Hash that names the instance, also for the choice.
+    /// Hash of the instance, for messages between boxes and for ranking.
     pub name_hash: u64,
-    /// Record of failures.
+    /// Failure history and ejection state.
     pub health: Health,
-    /// Requests of this box under way there.
+    /// Requests of this box in progress.
     pub running: u32,
-    /// Those of them that cannot go on at another upstream.
+    /// Requests of this box in progress that can't be continued on another upstream.
     pub pinned: u32,
-    /// Prompt tokens of this box that wait for their first token there.
+    /// Prompt tokens of this box's requests that have not received their first token.
     pub waiting: u64,
-    /// The same of all other boxes, by their last status.
+    /// Load from all other boxes, by their last status messages.
     pub peer_load: Load,
-    /// Backoff that it has asked this box for.
+    /// Backoff that the upstream has requested from this box.
     pub backoff: Backoff,
-    /// Rate limit that it has announced for all boxes together.
+    /// Rate limit that the upstream has announced for all boxes together.
     pub rate_limit: Limit,
-    /// Until when it gets nothing because it loads weights.
+    /// Time until which it receives no requests because it loads weights.
     pub loading_until: Moment,
-    /// Until when it counts as ended, as it refuses connections.
+    /// Time until which it is considered down because it refuses connections.
     pub down_until: Moment,
-    /// Until when its entry, which is missing after an outage of the store, may come back.
+    /// Time until which its entry, missing after a store outage, may reappear; `None` if the entry is present.
     pub expired: Option<Moment>,
-    /// Whether another instance answers at its address.
+    /// Whether another instance responds at its address.
     pub replaced: bool,
     /// Whether another box has reported that it drains.
     pub draining_by_peer: bool,
-    /// Model of its prefix cache.
+    /// Model of the engine's prefix cache.
     pub cache: PrefixCache,
-    /// Its account, where this box keeps it.
+    /// Account of the upstream, used if this box owns it.
     pub account: Reservations,
-    /// Idle connections, the last used at the end.
+    /// Idle connections, the most recently used last.
     pub idle: Vec<IdleConnection>,
 }
 
-/// Load of an upstream.
+/// Load on an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Requests under way.
+    /// Requests in progress.
     pub running: u32,
-    /// Those of them that cannot go on at another upstream.
+    /// Requests in progress that can't be continued on another upstream.
     pub pinned: u32,
-    /// Prompt tokens that wait for their first token.
+    /// Prompt tokens of requests that have not received their first token.
     pub waiting: u64,
 }
 
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Applies another entry of the same instance. It may be older than what other sources have shown, as in a
-    /// restored store, and an instance's weights never get older.
+    /// Applies another entry of the same instance. The entry may be older than what other sources have reported,
+    /// as in a restored store, so weight versions are never lowered: an instance never loads older weights.
     pub(super) fn update(&mut self, mut entry: Entry) {
         for loaded in &mut entry.models {
             let known = self.entry.weights(&loaded.model);
@@ -115,55 +115,55 @@
         self.unreadable = false;
     }
 
-    /// Returns whether it neither drains nor has an unreadable entry.
+    /// Returns whether the upstream neither drains nor has an unreadable entry.
     pub fn is_in_rotation(&self) -> bool {
         !self.entry.draining && !self.draining_by_peer && !self.unreadable
     }
 
-    /// Whether it may get a new request.
+    /// Returns whether the upstream can receive a new request now.
     pub fn is_available(&self, now: Moment) -> bool {
         self.is_eligible(now) && !self.is_throttled(now)
     }
 
-    /// Whether it accepts nothing from this box for the moment: it asked for backoff, or its rate limit is
-    /// used up.
+    /// Returns whether the upstream accepts nothing from this box for now: it requested backoff, or its rate
+    /// limit is exhausted.
     pub(super) fn is_throttled(&self, now: Moment) -> bool {
         self.backoff.blocks(self.running, now) || self.rate_limit.is_blocked(now)
     }
 
-    /// When it accepts requests again.
+    /// Returns when backoff and rate limit allow requests again.
     pub(super) fn throttled_until(&self) -> Moment {
         self.backoff.until().max(self.rate_limit.blocked_until())
     }
 
-    /// Whether it may get a new request once it isn't held back any more.
+    /// Returns whether the upstream can receive a new request once it is no longer throttled.
     pub fn is_eligible(&self, now: Moment) -> bool {
-        let busy = now < self.loading_until || now < self.down_until;
-        let comes_back = self.expired.is_none_or(|until| now < until);
-        comes_back && self.is_in_rotation() && !self.replaced && !busy && self.health.is_available(now)
+        let blocked = now < self.loading_until || now < self.down_until;
+        let may_reappear = self.expired.is_none_or(|until| now < until);
+        may_reappear && self.is_in_rotation() && !self.replaced && !blocked && self.health.is_available(now)
     }
 
-    /// Whether it has asked for a backoff that isn't over.
+    /// Returns whether a backoff that the upstream requested is still in effect.
     pub fn is_backing_off(&self, now: Moment) -> bool {
         self.backoff.is_active(now)
     }
 
-    /// Whether another engine can take parts from it.
+    /// Returns whether other engines can import cached segments from this one.
     pub(super) fn can_export(&self, now: Moment) -> bool {
-        let loads = now < self.loading_until;
-        !loads
+        let is_loading = now < self.loading_until;
+        !is_loading
             && !self.replaced
             && !self.unreadable
             && self.expired.is_none()
             && self.health.is_available(now)
     }
 
-    /// Last known version of a model's weights.
+    /// Returns the last known version of a model's weights; `None` if the engine doesn't serve the model.
     pub fn weights(&self, model: &str) -> Option<u64> {
         self.entry.weights(model)
     }
 
-    /// Applies a version of its weights; the cache goes with the old ones.
+    /// Applies an observed version of the weights. A different version clears the prefix cache.
     pub fn observe_weights(&mut self, model: &str, version: u64) {
         let loaded = self.entry.models.iter_mut().find(|loaded| loaded.model == model);
         let Some(loaded) = loaded else { return };
@@ -173,19 +173,19 @@
         }
     }
 
-    /// Sets the engine's memory; requests run in a part of it.
+    /// Sets the engine's KV memory in tokens, a part of which is used by running requests.
     pub fn set_kv_capacity(&mut self, tokens: u64) {
         self.cache.set_capacity(tokens * CACHE_PERCENT / 100);
     }
 
-    /// Notes that it seems to have ended, as it refuses connections.
+    /// Excludes the upstream for a short time because it refuses connections.
     pub fn mark_down(&mut self, now: Moment) {
-        self.down_until = now + ENDED_PAUSE;
+        self.down_until = now + DOWN_TIME;
     }
 
-    pub(crate) fn candidate(&self, wanted: &Criteria<'_>, behind: bool) -> Candidate {
-        let hall = wanted.own_hall;
-        let demand = &wanted.demand;
+    pub(crate) fn candidate(&self, criteria: &Criteria<'_>, behind: bool) -> Candidate {
+        let hall = criteria.own_hall;
+        let demand = &criteria.demand;
         Candidate {
             name_hash: self.name_hash,
             own_hall: self.entry.hall == hall,
@@ -195,10 +195,14 @@
             cached_tokens: self.cache.cached_tokens(demand.prompt),
             peer_cached_tokens: 0,
             has_stale_weights: behind,
-            slowdown: if self.entry.warm_up.is_zero() { 1.0 } else { COLD },
+            slowdown: if self.entry.warm_up.is_zero() {
+                1.0
+            } else {
+                COLD_SLOWNESS
+            },
         }
     }
 }
 
-/// Factor on the time of an upstream that is still slow from its start.
-const COLD: f64 = 2.0;
+/// Factor on the estimated time of an upstream that is still slow after its start.
+const COLD_SLOWNESS: f64 = 2.0;
--- a/crates/jb-relay/src/upstream/table.rs
+++ b/crates/jb-relay/src/upstream/table.rs
@@ -1,6 +1,6 @@
-//! Upstreams by id, by short name and by service.
+//! Table of upstreams with indexes by id, by short name and by service.
 //!
-//! The choice for a request looks at all upstreams of a service, so these are found without looking up ids.
+//! Selection for a request visits all upstreams of a service, so the service index holds slots, not ids.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -9,10 +9,10 @@
 
 use super::{Id, Upstream};
 
-/// Place of an upstream in the table.
+/// Index of an upstream in the table.
 type Slot = usize;
 
-/// Upstreams with their indexes.
+/// Upstreams, indexed by id, short name and service.
 #[derive(Debug, Default)]
 pub struct Table {
     upstreams: Vec<Option<Upstream>>,
@@ -20,12 +20,12 @@
     by_id: BTreeMap<Id, Slot>,
     by_short_name: HashMap<u32, Slot>,
     by_service: HashMap<id::Service, Vec<Slot>>,
-    /// Those that may have requests of this box.
+    /// Slots of the upstreams that may have requests of this box.
     busy: BTreeSet<Slot>,
 }
 
 impl Table {
-    /// Adds an upstream. The one that had its id is removed before.
+    /// Adds an upstream, replacing the one with the same id.
     pub fn insert(&mut self, upstream: Upstream) {
         self.remove(&upstream.instance.id);
         let slot = self.free.pop().unwrap_or_else(|| {
@@ -40,7 +40,7 @@
         self.upstreams[slot] = Some(upstream);
     }
 
-    /// Removes an upstream; `None` when there is none with that id.
+    /// Removes and returns an upstream; `None` if there is none with that id.
     pub fn remove(&mut self, id: &str) -> Option<Upstream> {
         let slot = self.by_id.remove(id)?;
         let upstream = self.upstreams[slot].take()?;
@@ -56,39 +56,39 @@
         Some(upstream)
     }
 
-    /// Number of upstreams.
+    /// Returns the number of upstreams.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Returns whether there is an upstream with an id.
+    /// Returns whether the table has an upstream with this id.
     pub fn contains(&self, id: &str) -> bool {
         self.by_id.contains_key(id)
     }
 
-    /// Returns the upstream with an id.
+    /// Returns the upstream with this id.
     pub fn get(&self, id: &str) -> Option<&Upstream> {
         self.at(*self.by_id.get(id)?)
     }
 
-    /// Returns the upstream with an id, to change it.
+    /// Returns a mutable reference to the upstream with this id.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut Upstream> {
         let slot = *self.by_id.get(id)?;
         self.upstreams.get_mut(slot)?.as_mut()
     }
 
-    /// Returns the upstream whose present instance has a short name.
+    /// Returns the upstream whose current instance has this short name.
     pub fn by_short_name(&self, name: u32) -> Option<&Upstream> {
         self.at(*self.by_short_name.get(&name)?)
     }
 
-    /// Returns the upstream whose present instance has a short name, to change it.
+    /// Returns a mutable reference to the upstream whose current instance has this short name.
     pub fn by_short_name_mut(&mut self, name: u32) -> Option<&mut Upstream> {
         let slot = *self.by_short_name.get(&name)?;
         self.upstreams.get_mut(slot)?.as_mut()
     }
 
-    /// Notes that the requests of this box at an upstream have changed.
+    /// Updates the index of busy upstreams after the number of requests at one has changed.
     pub fn note_requests(&mut self, id: &str) {
         let Some(slot) = self.by_id.get(id).copied() else {
             return;
@@ -100,26 +100,26 @@
         }
     }
 
-    /// Upstreams that have requests of this box.
+    /// Returns the upstreams that have requests of this box.
     pub fn busy(&self) -> impl Iterator<Item = &Upstream> {
         let noted = self.busy.iter().filter_map(|slot| self.at(*slot));
         noted.filter(|upstream| upstream.running > 0)
     }
 
-    /// Upstreams of a service, in the order in which they were added.
+    /// Returns the upstreams of a service, in the order in which they were added.
     pub fn of_service(&self, service: &str) -> impl Iterator<Item = &Upstream> {
         let slots = self.by_service.get(service).map(Vec::as_slice);
         slots.unwrap_or_default().iter().filter_map(|slot| self.at(*slot))
     }
 
-    /// All upstreams, in the order of their ids.
+    /// Returns all upstreams, ordered by id.
     pub fn iter(&self) -> impl Iterator<Item = (&Id, &Upstream)> {
         self.by_id
             .iter()
             .filter_map(|(id, slot)| Some((id, self.at(*slot)?)))
     }
 
-    /// All upstreams, to change them.
+    /// Returns mutable references to all upstreams.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut Upstream> {
         self.upstreams.iter_mut().flatten()
     }
