--- a/crates/jb-relay/src/leader/election.rs
+++ b/crates/jb-relay/src/leader/election.rs
@@ -1,22 +1,22 @@
-//! Election of the leader, by a lease in the store.
+//! Leader election by a lease in the store.
 
 use bytes::Bytes;
 use jb_policy::election;
 use jb_protocol::{emit, event};
 use tokio::time::sleep;
 
-use super::record::{self, Past, Record};
-use super::term::{HOLDER, LEASE, Leader, MARGIN, Term};
+use super::record::{self, OrderRecord, PriorOrders};
+use super::term::{HOLDER_KEY, LEASE_MARGIN, LEASE_TTL, Leader, Term};
 use crate::follow;
 use crate::port::{Change, Revision, StoreError, Write};
 
 impl Leader {
-    /// Makes this box the leader when there is none, the most preferred box first.
+    /// Tries to become the leader if there is none. Boxes wait according to their rank, the most preferred first.
     pub(super) async fn try_elect(&self) {
         let core = &self.core;
-        let holder = core.box_items.borrow().get(HOLDER).cloned();
+        let holder = core.box_items.borrow().get(HOLDER_KEY).cloned();
         let held = holder.as_ref().is_some_and(|item| item.value.is_some());
-        // Without the own address in the list, the others' are missing too.
+        // If this box's own address is not listed yet, other boxes' addresses are missing as well.
         let listed = core.book.borrow().address(&core.settings.id).is_some();
         if held || !listed || core.state_age().is_none_or(|age| age > 2 * follow::POLL_INTERVAL) {
             self.vacant_since.set(None);
@@ -25,7 +25,10 @@
         let now = core.now();
         let since = self.vacant_since.get().unwrap_or(now);
         self.vacant_since.set(Some(since));
-        let before = core.book.borrow().preferred_count(&core.settings.id, HOLDER, now);
+        let before = core
+            .book
+            .borrow()
+            .preferred_count(&core.settings.id, HOLDER_KEY, now);
         if now < since + election::delay(before) {
             return;
         }
@@ -41,7 +44,7 @@
         let core = &self.core;
         let asked = core.now();
         core.metrics.store_calls.inc();
-        let lease = core.store.grant_lease(LEASE).await?;
+        let lease = core.store.grant_lease(LEASE_TTL).await?;
         let era = core.era();
         if lease.era != era {
             return Err(StoreError::Restored);
@@ -50,14 +53,14 @@
         let before = record::decode(last.as_ref().and_then(|item| item.value.as_deref()));
         let own = &core.settings.id;
         let holder = Write {
-            key: HOLDER.to_owned(),
+            key: HOLDER_KEY.to_owned(),
             value: Bytes::from(own.clone()),
             expected: None,
             lease: Some(lease),
         };
         let last = Write {
             key: record::key(era),
-            // The orders of the box before stand on until their pause is over.
+            // The previous leader's orders stay in the record until their pause has passed.
             value: record::encode(own, &before),
             expected: revision(last.as_ref()),
             lease: None,
@@ -65,21 +68,21 @@
         core.metrics.store_calls.inc();
         let fence = core.store.write(era, &[holder, last]).await?;
         let now = core.now();
-        // The box before gives no order in the last part of its lease. It has run out, unless the store was
-        // restored: then the box may have renewed it right before.
-        let pause = self.gap().saturating_sub(MARGIN);
+        // The previous leader gives no orders within the margin at the end of its lease. That lease has expired,
+        // unless the store was restored: the previous leader may then have renewed it right before.
+        let pause = self.order_gap().saturating_sub(LEASE_MARGIN);
         let (wait, waits_for) = match &before {
-            Past::Known(orders) => (pause, Some(orders.len())),
-            Past::Unknown => (pause + LEASE, None),
+            PriorOrders::Known(orders) => (pause, Some(orders.len())),
+            PriorOrders::Unknown => (pause + LEASE_TTL, None),
         };
-        *self.record.borrow_mut() = Record::new(core.settings.id.clone(), before, now + wait);
+        *self.record.borrow_mut() = OrderRecord::new(core.settings.id.clone(), before, now + wait);
         self.term.set(Some(Term {
             lease,
             fence,
-            until: asked + LEASE - MARGIN,
+            orders_until: asked + LEASE_TTL - LEASE_MARGIN,
             renewed: asked,
-            last: fence,
-            named: true,
+            record_revision: fence,
+            is_announced: true,
         }));
         core.stop.set_leading(true);
         self.vacant_since.set(None);
@@ -89,7 +92,7 @@
     }
 }
 
-/// Revision under which an item is written over; `None` when it does not stand.
+/// Returns the revision that a conditional write expects; `None` if the item doesn't exist.
 fn revision(item: Option<&Change>) -> Option<Revision> {
     item.filter(|item| item.value.is_some()).map(|item| item.revision)
 }
--- a/crates/jb-relay/src/leader/load.rs
+++ b/crates/jb-relay/src/leader/load.rs
@@ -1,4 +1,4 @@
-//! Brings engines to the newest weights: drains each, orders it to load, and waits until it has them.
+//! Rollout of the newest weights: quiesces each engine, orders it to load, and waits until it has loaded them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,65 +10,64 @@
 use jb_protocol::{emit, event};
 use tokio::time::sleep;
 
-use super::term::{LOOK_INTERVAL, Leader};
+use super::term::{Leader, POLL_INTERVAL};
 use crate::peers;
 use crate::port::{Order, OrderOutcome, Report};
 use crate::restart;
 use crate::signal;
 use crate::upstream::{Instance, Upstream};
 
-/// First pause before an engine that refused an order, or gave no report, is tried again; it
-/// doubles each time.
-const FIRST_PAUSE: Duration = Duration::from_millis(600);
-/// Longest such pause: an engine that is back must be loaded within the bound on old weights.
-const LONGEST_PAUSE: Duration = Duration::from_millis(2400);
-/// Share of a service's engines that load at once.
-const AT_ONCE: f64 = 0.2;
-/// Engines that load at once at least.
-const AT_ONCE_LEAST: usize = 2;
-/// Engines that the store names before their turn, in engines that load at once: one write for
-/// each engine was a tenth of the price of all calls to the store with 90 engines.
-const NAMED_AHEAD: usize = 3;
-/// Engines that are emptied meanwhile, to load next, for each that loads: emptying takes half of
-/// the time that a load takes, so fewer would leave places among those that load empty.
-const EMPTYING: f64 = 0.5;
-/// The same at least.
-const EMPTYING_LEAST: usize = 1;
-/// Longest wait for requests that cannot go on elsewhere to end. They are cut then: letting
-/// them all end took an engine away for 3 to 6 s on days of high load, 1.3 s serves most.
-const EMPTY_TIME: Duration = Duration::from_millis(1300);
-/// Time in which all boxes learn that an engine gets nothing more, and send what they have there.
-const HEARD_TIME: Duration = Duration::from_millis(220);
-/// Pause between two looks at an engine that is being emptied.
-const LOOK_EMPTY: Duration = Duration::from_millis(30);
-/// Pause between two reports of an engine that loads.
-const LOOK_BUSY: Duration = Duration::from_millis(120);
-/// Time that a load takes at least.
-const LOAD_LEAST: Duration = Duration::from_millis(600);
-/// Time after which an engine that does not get done makes room for others.
-const LOAD_TIME: Duration = Duration::from_secs(8);
+/// First pause before an engine that refused an order or sent no report is tried again; doubles each time.
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(600);
+/// Maximum pause before a retry: a recovered engine must be loaded within the bound on old weights.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(2400);
+/// Share of a service's engines that load at the same time.
+const LOADING_SHARE: f64 = 0.2;
+/// Minimum number of engines that load at the same time.
+const MIN_LOADING: usize = 2;
+/// Engines that are recorded in the store before their turn, as a multiple of those that load at the same time.
+/// With 90 engines, one write for each engine was a tenth of the cost of all calls to the store.
+const ANNOUNCED_AHEAD: usize = 3;
+/// Engines that are quiesced at the same time to load next, for each that loads. Quiescing takes half as long as
+/// loading, so with fewer, load slots would stay unused.
+const QUIESCING_SHARE: f64 = 0.5;
+/// Minimum number of engines that are quiesced at the same time.
+const MIN_QUIESCING: usize = 1;
+/// Maximum wait for pinned requests to end, after which they are cut off. Letting all of them end took an engine
+/// out for 3 to 6 s under high load; 1.3 s is enough for most.
+const QUIESCE_TIMEOUT: Duration = Duration::from_millis(1300);
+/// Time for all boxes to learn that an engine receives no new requests, and to send those already placed there.
+const PROPAGATION_TIME: Duration = Duration::from_millis(220);
+/// Interval at which an engine that is being quiesced is checked.
+const QUIESCE_POLL_INTERVAL: Duration = Duration::from_millis(30);
+/// Interval at which a loading engine's report is requested.
+const REPORT_INTERVAL: Duration = Duration::from_millis(120);
+/// Minimum time that a load takes.
+const MIN_LOAD_TIME: Duration = Duration::from_millis(600);
+/// Time after which an engine that has not finished loading gives up its slot.
+const LOAD_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Engines to load, in their order.
+/// Engines to load, in order.
 struct Queue {
-    /// Engines that are begun with now.
+    /// Number of engines to start with now.
     room: usize,
     engines: Vec<Instance>,
 }
 
-/// Share of the time for newer weights in which an engine's rest goes first: a load takes a second, and
-/// there is half of the time left for it.
-const RESTING_SHARE: f64 = 0.5;
-/// Engines that did not answer, or refused an order: they get no place among those that load.
+/// Share of the bound on old weights during which an engine's requested backoff takes precedence. A load takes a
+/// second, for which the other half of the time remains.
+const BACKOFF_SHARE: f64 = 0.5;
+/// Engines that did not respond or refused an order; they get no load slot until their pause is over.
 #[derive(Debug, Default)]
-pub(super) struct Absent(BTreeMap<Instance, Pause>);
+pub(super) struct Unresponsive(BTreeMap<Instance, Pause>);
 
-/// Orders that each engine had taken when it last reported.
+/// Number of orders that each engine had accepted at its last report.
 #[derive(Debug, Default)]
-pub(super) struct Counts(BTreeMap<Instance, u64>);
+pub(super) struct OrderCounts(BTreeMap<Instance, u64>);
 
-impl Counts {
-    /// Takes a report; whether the engine has fewer orders than before, and so has started again.
-    fn fall(&mut self, instance: &Instance, orders: u64) -> bool {
+impl OrderCounts {
+    /// Records a reported number; returns whether it is lower than before, which shows a restart.
+    fn observe(&mut self, instance: &Instance, orders: u64) -> bool {
         let before = self.0.insert(instance.clone(), orders);
         before.is_some_and(|before| orders < before)
     }
@@ -80,27 +79,27 @@
     length: Duration,
 }
 
-impl Absent {
+impl Unresponsive {
     fn is_paused(&self, instance: &Instance, now: Moment) -> bool {
         self.0.get(instance).is_some_and(|pause| now < pause.until)
     }
 
     fn note(&mut self, instance: &Instance, now: Moment) {
         let before = self.0.get(instance).map(|pause| pause.length);
-        let length = before.map_or(FIRST_PAUSE, |length| (2 * length).min(LONGEST_PAUSE));
+        let length = before.map_or(MIN_RETRY_PAUSE, |length| (2 * length).min(MAX_RETRY_PAUSE));
         let until = now + length;
         self.0.insert(instance.clone(), Pause { until, length });
     }
 
-    fn answered(&mut self, instance: &Instance) {
+    fn clear(&mut self, instance: &Instance) {
         self.0.remove(instance);
     }
 }
 
 impl Leader {
-    /// Begins to load engines that have older weights, a few at a time.
+    /// Starts to load engines that have older weights, a few at a time.
     pub(super) async fn start_loads(self: &Rc<Self>) {
-        if !self.holds() {
+        if !self.can_order() {
             return;
         }
         let weights = self.core.weights.borrow().clone();
@@ -117,11 +116,11 @@
         }
     }
 
-    /// Whether an engine that wants nothing from this box gets its order later: as long as there is time
-    /// for its weights.
-    fn lets_rest(&self, upstream: &Upstream, model: &str) -> bool {
+    /// Returns whether an engine's order waits for the backoff that the engine requested, which it does while
+    /// enough time remains within the bound on old weights.
+    fn defers_to_backoff(&self, upstream: &Upstream, model: &str) -> bool {
         let now = self.core.now();
-        let time = self.core.settings.bounds.old_weights_grace.mul_f64(RESTING_SHARE);
+        let time = self.core.settings.bounds.old_weights_grace.mul_f64(BACKOFF_SHARE);
         let weights = self.core.weights.borrow();
         let overdue = upstream
             .weights(model)
@@ -131,17 +130,17 @@
     }
 
     async fn load_in_time(self: Rc<Self>, instance: Instance, model: String) {
-        if tokio::time::timeout(LOAD_TIME, self.load(&instance, &model))
+        if tokio::time::timeout(LOAD_TIMEOUT, self.load(&instance, &model))
             .await
             .is_err()
         {
-            emit!(self.core.logger, warn, event::ORDER_FAILED, "upstream" => %instance, "why" => "not done in time");
+            emit!(self.core.logger, warn, event::ORDER_FAILED, "upstream" => %instance, "why" => "loading timed out");
         }
         self.loading.borrow_mut().remove(&instance);
     }
 
-    /// Engines to load next: those with the oldest weights, then those that the store names
-    /// already, then those with the least to do.
+    /// Returns the engines to load next: healthy ones first, then those with the oldest weights, then those already
+    /// recorded in the store, then those with the fewest requests.
     fn queue(&self, model: &str, version: u64) -> Queue {
         let upstreams = self.core.upstreams.borrow();
         let loading = self.loading.borrow();
@@ -152,43 +151,43 @@
             all += 1;
             let instance = &upstream.instance;
             let old = upstream.weights(model).is_some_and(|has| has < version) && !upstream.replaced;
-            let barred = self.record.borrow().is_barred(&instance.id, now)
-                || self.absent.borrow().is_paused(instance, now);
-            let free = !barred && !self.lets_rest(upstream, model) && !loading.contains(instance);
+            let is_barred = self.record.borrow().is_barred(&instance.id, now)
+                || self.unresponsive.borrow().is_paused(instance, now);
+            let free = !is_barred && !self.defers_to_backoff(upstream, model) && !loading.contains(instance);
             if old && free && upstream.is_in_rotation() && upstream.expired.is_none() {
-                let unsound = !upstream.health.is_available(now);
+                let is_ejected = !upstream.health.is_available(now);
                 let running = upstream.running + upstream.peer_load.running;
-                let unnamed = !self.record.borrow().covers(std::slice::from_ref(instance));
+                let unrecorded = !self.record.borrow().covers(std::slice::from_ref(instance));
                 behind.push((
-                    unsound,
+                    is_ejected,
                     upstream.weights(model),
-                    unnamed,
+                    unrecorded,
                     running,
                     instance.clone(),
                 ));
             }
         }
-        let most = ((f64::from(all) * AT_ONCE) as usize).max(AT_ONCE_LEAST);
+        let most = ((f64::from(all) * LOADING_SHARE) as usize).max(MIN_LOADING);
         behind.sort();
-        if most > self.granted.get() {
-            self.places.add_permits(most - self.granted.get());
-            self.granted.set(most);
+        if most > self.granted_slots.get() {
+            self.load_slots.add_permits(most - self.granted_slots.get());
+            self.granted_slots.set(most);
         }
-        let emptying = ((most as f64 * EMPTYING) as usize).max(EMPTYING_LEAST);
-        let room = (most + emptying).saturating_sub(loading.len());
-        // A successor leaves alone all that are named, so few engines are named as they come.
-        let named = room + NAMED_AHEAD * (most - AT_ONCE_LEAST);
+        let quiescing = ((most as f64 * QUIESCING_SHARE) as usize).max(MIN_QUIESCING);
+        let room = (most + quiescing).saturating_sub(loading.len());
+        // The next leader can't order the recorded engines for a while, so only a few are recorded in advance.
+        let recorded = room + ANNOUNCED_AHEAD * (most - MIN_LOADING);
         Queue {
             room,
             engines: behind
                 .into_iter()
-                .take(named)
+                .take(recorded)
                 .map(|(.., instance)| instance)
                 .collect(),
         }
     }
 
-    /// Report of an engine; `None` when it gave none, or has gone.
+    /// Requests an engine's report; `None` if it sent none, is another instance, or is out of rotation.
     async fn report(&self, instance: &Instance) -> Option<(SocketAddr, Report)> {
         let core = &self.core;
         let address = core
@@ -200,26 +199,30 @@
         signal::apply_signals(core, instance, observed.signals, None);
         match observed.result {
             Ok(report) => {
-                self.absent.borrow_mut().answered(instance);
-                (self.is_same_life(instance, &report) && self.is_there(instance)).then_some((address, report))
+                self.unresponsive.borrow_mut().clear(instance);
+                (self.is_same_instance(instance, &report) && self.is_in_rotation(instance))
+                    .then_some((address, report))
             }
             Err(why) => {
                 emit!(core.logger, info, event::ORDER_FAILED, "upstream" => %instance, "why" => %why);
-                self.absent.borrow_mut().note(instance, core.now());
+                self.unresponsive.borrow_mut().note(instance, core.now());
                 None
             }
         }
     }
 
-    /// Returns whether an engine can still be used: it may have begun to drain.
-    fn is_there(&self, instance: &Instance) -> bool {
+    /// Returns whether an engine is still in rotation: it may have begun to drain.
+    fn is_in_rotation(&self, instance: &Instance) -> bool {
         let upstreams = self.core.upstreams.borrow();
         upstreams.instance(instance).is_some_and(Upstream::is_in_rotation)
     }
 
-    /// Whether a report is of the life that is known; a later one is noted.
-    fn is_same_life(&self, instance: &Instance, report: &Report) -> bool {
-        let fewer_orders = self.counts.borrow_mut().fall(instance, report.orders_taken);
+    /// Returns whether a report is from the known instance; records a restart otherwise.
+    fn is_same_instance(&self, instance: &Instance, report: &Report) -> bool {
+        let fewer_orders = self
+            .order_counts
+            .borrow_mut()
+            .observe(instance, report.orders_taken);
         if !instance.matches_start_time(report.started_at) {
             restart::note(&self.core, instance, report.started_at, "report");
             return false;
@@ -230,16 +233,16 @@
         !fewer_orders
     }
 
-    /// Brings one engine to the newest weights.
+    /// Has one engine load the newest weights.
     async fn load(&self, instance: &Instance, model: &str) {
         let core = &self.core;
         let began = core.now();
-        // An engine that does not answer takes no place from those that do.
+        // An engine that does not respond must not take a slot from those that do.
         if self.report(instance).await.is_none() {
             return;
         }
-        self.empty(instance, model).await;
-        let _place = self.place().await;
+        self.quiesce(instance, model).await;
+        let _slot = self.load_slot().await;
         let mut last_published = began;
         loop {
             if core.now() > last_published + peers::MAX_LOADING_TIME / 2 {
@@ -262,7 +265,7 @@
                 return;
             }
             if report.busy {
-                sleep(LOOK_BUSY).await;
+                sleep(REPORT_INTERVAL).await;
             } else if !self
                 .order(instance, address, model, version, report.orders_taken)
                 .await
@@ -272,32 +275,32 @@
         }
     }
 
-    /// Has the boxes send nothing more there, and waits until what cannot go on elsewhere has ended.
-    async fn empty(&self, instance: &Instance, model: &str) {
+    /// Tells all boxes to send no new requests to an engine, and waits for its pinned requests to end.
+    async fn quiesce(&self, instance: &Instance, model: &str) {
         let core = &self.core;
         peers::publish_weights(core, &self.socket, instance, model, None);
-        let until = core.now() + EMPTY_TIME;
-        sleep(HEARD_TIME).await;
-        while core.now() < until && self.fixed(instance) > 0 {
-            sleep(LOOK_EMPTY).await;
+        let until = core.now() + QUIESCE_TIMEOUT;
+        sleep(PROPAGATION_TIME).await;
+        while core.now() < until && self.pinned_requests(instance) > 0 {
+            sleep(QUIESCE_POLL_INTERVAL).await;
         }
     }
 
-    /// Requests at an engine that cannot go on elsewhere.
-    fn fixed(&self, instance: &Instance) -> u32 {
+    /// Returns the number of requests at an engine that can't be continued on another one.
+    fn pinned_requests(&self, instance: &Instance) -> u32 {
         let upstreams = self.core.upstreams.borrow();
         upstreams
             .instance(instance)
             .map_or(0, |upstream| upstream.pinned + upstream.peer_load.pinned)
     }
 
-    /// A place among the engines that load at the same time.
-    async fn place(&self) -> Option<tokio::sync::SemaphorePermit<'_>> {
+    /// Waits for one of the slots that limit how many engines load at the same time.
+    async fn load_slot(&self) -> Option<tokio::sync::SemaphorePermit<'_>> {
         // The semaphore is never closed.
-        self.places.acquire().await.ok()
+        self.load_slots.acquire().await.ok()
     }
 
-    /// Gives one order; whether to go on with the engine.
+    /// Gives one order; returns whether to continue with the engine.
     async fn order(
         &self,
         instance: &Instance,
@@ -307,7 +310,7 @@
         orders: u64,
     ) -> bool {
         let core = &self.core;
-        let Some(fence) = self.may_order(&instance.id) else {
+        let Some(fence) = self.fencing_token(&instance.id) else {
             return false;
         };
         let holder = core.settings.id.clone();
@@ -318,23 +321,23 @@
             fence,
             expected_orders: orders,
         };
-        self.record.borrow_mut().order(&instance.id, core.now());
+        self.record.borrow_mut().note_order(&instance.id, core.now());
         let observed = core.engines.order(address, &instance.id, &order).await;
         signal::apply_signals(core, instance, observed.signals, None);
-        let taken = observed.result;
+        let result = observed.result;
         emit!(core.logger, info, event::ORDER_GIVEN, "upstream" => %instance, "version" => version,
-            "fence" => fence, "fixed" => self.fixed(instance), "answer" => ?taken);
-        match taken {
-            Ok(OrderOutcome::Started) => sleep(LOAD_LEAST).await,
+            "fence" => fence, "fixed" => self.pinned_requests(instance), "answer" => ?result);
+        match result {
+            Ok(OrderOutcome::Started) => sleep(MIN_LOAD_TIME).await,
             Ok(OrderOutcome::Refused(status)) => {
                 if let Some(upstream) = core.upstreams.borrow_mut().instance_mut(instance) {
-                    // Another incarnation has the address.
+                    // 421: another instance responds at the address.
                     upstream.replaced |= status == 421;
                 }
-                self.absent.borrow_mut().note(instance, core.now());
+                self.unresponsive.borrow_mut().note(instance, core.now());
                 return false;
             }
-            Ok(OrderOutcome::Holds | OrderOutcome::Conflict) | Err(_) => sleep(LOOK_INTERVAL).await,
+            Ok(OrderOutcome::Holds | OrderOutcome::Conflict) | Err(_) => sleep(POLL_INTERVAL).await,
         }
         true
     }
--- a/crates/jb-relay/src/leader/mod.rs
+++ b/crates/jb-relay/src/leader/mod.rs
@@ -1,12 +1,11 @@
-//! The leader brings engines to the newest weights.
+//! The leader, which has engines load the newest weights.
 //!
-//! One box is the leader, by a lease in the platform's store. The fencing token of
-//! its orders is the revision at which its term began. Engines may not
-//! check tokens; so a box that takes over leaves alone the engines that the box
-//! before may have ordered, until orders of the two cannot follow each other too closely.
+//! One box is the leader, elected by a lease in the platform's store. The fencing token of its orders is the
+//! revision at which its term began. Engines may not check fencing tokens, so a new leader gives no orders to
+//! engines that the previous leader may have ordered until the required gap between orders has passed.
 //!
-//! A restore of the store ends each term. The record of orders may be lost then, so the next box leaves all
-//! engines alone for as long as the box before could still hold its lease, and the pause.
+//! A restore of the store ends every term. The record of orders may be lost in it, so the next leader gives no
+//! orders at all for as long as the previous leader could still hold its lease, plus the gap.
 
 mod election;
 mod load;
--- a/crates/jb-relay/src/leader/record.rs
+++ b/crates/jb-relay/src/leader/record.rs
@@ -1,8 +1,8 @@
-//! What the next leader must know of the orders of the one before, as it stands in the store.
+//! Record of the leader's orders in the store, for the next leader.
 //!
-//! Orders of two boxes to one engine must keep a pause. An order may be carried out late and
-//! its answer lost, so the leader writes the engines that it is about to order
-//! before the first order; its successor keeps the pause for these and for no others.
+//! Orders of two boxes to the same engine must be separated by a gap. An order may be executed late and its
+//! response lost, so the leader records the engines that it is about to order before the first order. Its
+//! successor observes the gap for these engines only.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,54 +14,56 @@
 use crate::port::Era;
 use crate::upstream::{Id, Instance};
 
-/// Key of the item that names the last leader of an era of the store, and the engines that it may have ordered
-/// lately. Each era has its own, so a box that hasn't noticed a restore can't write over it.
+/// Returns the key of the item with the last leader of a store era and the engines that it may have ordered
+/// recently. Each era has its own item, so a box that hasn't noticed a restore can't overwrite it.
 pub(super) fn key(era: Era) -> String {
     format!("junctionbend/steward/last/{era}")
 }
 
-/// Engines that may have been ordered lately, with the box that may have ordered each.
+/// Engines that may have been ordered recently, with the box that may have ordered each.
 pub(super) type Orders = BTreeMap<Id, id::Box>;
 
 /// Orders of earlier terms.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Past {
-    /// These and no others.
+pub(super) enum PriorOrders {
+    /// Only these engines may have been ordered.
     Known(Orders),
-    /// Any engine may have been ordered, and may still be until a lease of now has run out.
+    /// Any engine may have been ordered, and may still be until a lease renewed just now has expired.
     Unknown,
 }
 
-/// A record as it stands in the store: a line for the leader, then one for each
-/// engine with the box that may have ordered it. No line follows where any may have been ordered.
-pub(super) fn encode(holder: &str, past: &Past) -> Bytes {
-    let Past::Known(orders) = past else {
+/// Encodes a record for the store: a line with the leader, then one for each engine with the box that may have
+/// ordered it. Only the first line is written if any engine may have been ordered.
+pub(super) fn encode(holder: &str, past: &PriorOrders) -> Bytes {
+    let PriorOrders::Known(orders) = past else {
         return Bytes::from(holder.to_owned());
     };
     let lines: Vec<String> = orders.iter().map(|(id, by)| format!("{id} {by}")).collect();
     Bytes::from(format!("{holder}\n{}", lines.join("\n")))
 }
 
-/// Record of a box that has not ordered anything lately.
-pub(super) fn nothing() -> Bytes {
+/// Returns the encoded record of a leader that has given no recent orders.
+pub(super) fn empty() -> Bytes {
     Bytes::new()
 }
 
-/// Box of a record; empty when the next one need not wait.
+/// Returns the leader of an encoded record; empty if the next leader doesn't have to wait.
 pub(super) fn holder(value: &[u8]) -> &[u8] {
     value.split(|byte| *byte == b'\n').next().unwrap_or_default()
 }
 
-/// Orders of a record. They are unknown where there is none: the store has been restored, or the record is of
-/// another version of the program.
-pub(super) fn decode(value: Option<&[u8]>) -> Past {
+/// Decodes the orders of a record. They are unknown if there is no record, as after a restore of the store, or if
+/// it was written by another version of the program.
+pub(super) fn decode(value: Option<&[u8]>) -> PriorOrders {
     let text = value.and_then(|value| std::str::from_utf8(value).ok());
-    let Some(text) = text else { return Past::Unknown };
+    let Some(text) = text else {
+        return PriorOrders::Unknown;
+    };
     let Some((_, lines)) = text.split_once('\n') else {
         return if text.is_empty() {
-            Past::Known(Orders::new())
+            PriorOrders::Known(Orders::new())
         } else {
-            Past::Unknown
+            PriorOrders::Unknown
         };
     };
     let order = |line: &str| {
@@ -72,27 +74,26 @@
         .lines()
         .map(order)
         .collect::<Option<Orders>>()
-        .map_or(Past::Unknown, Past::Known)
+        .map_or(PriorOrders::Unknown, PriorOrders::Known)
 }
 
-/// Orders of one term, and those before it that still bind.
+/// Orders of one term, and earlier orders whose gap has not passed.
 #[derive(Debug)]
-pub(super) struct Record {
+pub(super) struct OrderRecord {
     own: id::Box,
-    /// Engines that stand in the store for this box.
+    /// Engines recorded in the store under this box.
     announced: BTreeSet<Id>,
-    /// When each engine last got an order of this box.
+    /// Time of this box's last order to each engine.
     given: BTreeMap<Id, Moment>,
-    /// Orders of the terms before.
-    before: Past,
-    /// Until when engines among them that other boxes may have ordered get no order.
+    /// Orders of earlier terms.
+    before: PriorOrders,
+    /// Time until which engines in `before` that other boxes may have ordered receive no order.
     barred_until: Moment,
 }
 
-impl Record {
-    /// A box's record at the begin of a term; orders of terms before are over by the pause
-    /// at the given moment.
-    pub(super) fn new(own: id::Box, before: Past, barred_until: Moment) -> Self {
+impl OrderRecord {
+    /// Creates the record at the start of a term. The gap after orders of earlier terms ends at `barred_until`.
+    pub(super) fn new(own: id::Box, before: PriorOrders, barred_until: Moment) -> Self {
         Self {
             own,
             announced: BTreeSet::new(),
@@ -102,57 +103,57 @@
         }
     }
 
-    /// Whether an order of another box to an engine is not over by the pause.
+    /// Returns whether the gap after another box's order to an engine has not passed.
     pub(super) fn is_barred(&self, id: &str, now: Moment) -> bool {
         let by_other = match &self.before {
-            Past::Known(orders) => orders.get(id).is_some_and(|by| *by != self.own),
-            Past::Unknown => true,
+            PriorOrders::Known(orders) => orders.get(id).is_some_and(|by| *by != self.own),
+            PriorOrders::Unknown => true,
         };
         now < self.barred_until && by_other
     }
 
-    /// Whether an engine may be ordered now.
+    /// Returns whether an engine can be ordered now.
     pub(super) fn allows(&self, id: &str, now: Moment) -> bool {
         self.announced.contains(id) && !self.is_barred(id, now)
     }
 
-    /// Whether all engines are written already.
+    /// Returns whether all engines are already recorded.
     pub(super) fn covers(&self, engines: &[Instance]) -> bool {
         engines.iter().all(|engine| self.announced.contains(&engine.id))
     }
 
-    /// What is to be written: `next` for this box, and all whose last order is not over by
-    /// the pause.
-    pub(super) fn due(&self, next: &BTreeSet<Id>, now: Moment, pause: Duration) -> Past {
-        let mut due = match &self.before {
+    /// Returns the orders to write: `next` under this box, and all engines whose last order is more recent than
+    /// `gap`.
+    pub(super) fn pending(&self, next: &BTreeSet<Id>, now: Moment, gap: Duration) -> PriorOrders {
+        let mut pending = match &self.before {
             _ if now >= self.barred_until => Orders::new(),
-            Past::Known(orders) => orders.clone(),
-            Past::Unknown => return Past::Unknown,
+            PriorOrders::Known(orders) => orders.clone(),
+            PriorOrders::Unknown => return PriorOrders::Unknown,
         };
-        let given = self.given.iter().filter(|(_, at)| now < **at + pause);
+        let given = self.given.iter().filter(|(_, at)| now < **at + gap);
         let own = given.map(|(id, _)| id).chain(next);
-        due.extend(own.map(|id| (id.clone(), self.own.clone())));
-        Past::Known(due)
+        pending.extend(own.map(|id| (id.clone(), self.own.clone())));
+        PriorOrders::Known(pending)
     }
 
-    /// Notes what was written.
-    pub(super) fn write(&mut self, written: &Past) {
+    /// Applies a record that was written to the store.
+    pub(super) fn note_written(&mut self, written: &PriorOrders) {
         self.announced = match written {
-            Past::Known(orders) => {
+            PriorOrders::Known(orders) => {
                 let own = orders.iter().filter(|(_, by)| **by == self.own);
                 own.map(|(id, _)| id.clone()).collect()
             }
-            Past::Unknown => BTreeSet::new(),
+            PriorOrders::Unknown => BTreeSet::new(),
         };
     }
 
-    /// Notes an order.
-    pub(super) fn order(&mut self, id: &Id, now: Moment) {
+    /// Records that an order is given.
+    pub(super) fn note_order(&mut self, id: &Id, now: Moment) {
         self.given.insert(id.clone(), now);
     }
 
-    /// Whether all orders are over by the pause.
-    pub(super) fn is_quiet(&self, now: Moment, pause: Duration) -> bool {
-        self.due(&BTreeSet::new(), now, pause) == Past::Known(Orders::new())
+    /// Returns whether all orders are older than `gap`.
+    pub(super) fn has_no_pending(&self, now: Moment, gap: Duration) -> bool {
+        self.pending(&BTreeSet::new(), now, gap) == PriorOrders::Known(Orders::new())
     }
 }
--- a/crates/jb-relay/src/leader/settle.rs
+++ b/crates/jb-relay/src/leader/settle.rs
@@ -1,4 +1,4 @@
-//! Writes down that everything lost in a restore of the store has been written again.
+//! Marks a store era as settled: everything lost in the restore that began it has been written again.
 
 use bytes::Bytes;
 use jb_protocol::{emit, event};
@@ -8,7 +8,7 @@
 use crate::settled;
 
 impl Leader {
-    /// Writes it once an era has lasted long enough. A platform without eras has nothing to settle.
+    /// Writes the mark once the era has lasted long enough. A platform without eras has nothing to settle.
     pub(super) async fn settle(&self, term: Term) {
         let core = &self.core;
         let era = term.lease.era;
@@ -24,7 +24,7 @@
         core.metrics.store_calls.inc();
         match core.store.write(era, &[write]).await {
             Ok(_) => emit!(core.logger, info, event::STORE_SETTLED, "era" => era),
-            // An earlier write whose answer was lost, or that of the leader before.
+            // Written before, by this box with the response lost or by the previous leader.
             Err(StoreError::Conflict) => {}
             Err(why) => emit!(core.logger, info, event::STORE_UNSETTLED, "era" => era, "why" => %why),
         }
--- a/crates/jb-relay/src/upstream/selection.rs
+++ b/crates/jb-relay/src/upstream/selection.rs
@@ -215,12 +215,12 @@
         };
         let mut holders = Vec::new();
         for upstream in self.of_service(criteria.service) {
-            let found = upstream.cache.cached_tokens(criteria.demand.prompt);
+            let cached_tokens = upstream.cache.cached_tokens(criteria.demand.prompt);
             let weights = upstream.weights(model);
-            if let Some(weights) = weights.filter(|_| found > 0 && upstream.can_export(now)) {
+            if let Some(weights) = weights.filter(|_| cached_tokens > 0 && upstream.can_export(now)) {
                 holders.push(Holder {
                     instance: &upstream.instance,
-                    cached_tokens: found,
+                    cached_tokens,
                     weights,
                     hall: &upstream.entry.hall,
                 });
