--- a/crates/jb-relay/src/follow/facts.rs
+++ b/crates/jb-relay/src/follow/facts.rs
@@ -1,4 +1,4 @@
-//! Puts what the store holds in force.
+//! Applies the content of the store to the state of this box.
 
 use jb_policy::Moment;
 use jb_protocol::{emit, event};
@@ -12,15 +12,15 @@
 use crate::settled;
 use crate::upstream::{EndedInstance, Transition, Upstream};
 
-/// Upstreams of one update up to which each has a log event; beyond that all of them have one together, so that what
-/// a box writes doesn't grow with the fleet.
+/// Maximum number of changes in an update for which each upstream gets its own log event. Larger updates are logged
+/// in one event, so that the log volume of a box doesn't grow with the fleet.
 const MAX_EVENTS: usize = 64;
 
-/// What one update changes.
+/// Counts of the upstreams changed by one update.
 #[derive(Debug, Default)]
-pub(super) struct Tally {
-    /// Until when an upstream whose entry is missing may come back.
-    comes_back: Option<Moment>,
+pub(super) struct UpdateSummary {
+    /// Time until which a missing entry may reappear; `None` if missing entries are removed at once.
+    reappears_until: Option<Moment>,
     is_bulk: bool,
     new: usize,
     draining: usize,
@@ -28,27 +28,27 @@
     gone: usize,
 }
 
-impl Tally {
-    /// An update of so many changes.
-    pub(super) fn new(changes: usize, comes_back: Option<Moment>) -> Self {
+impl UpdateSummary {
+    /// Creates the summary of an update with this number of changes.
+    pub(super) fn new(changes: usize, reappears_until: Option<Moment>) -> Self {
         Self {
-            comes_back,
+            reappears_until,
             is_bulk: changes > MAX_EVENTS,
             ..Self::default()
         }
     }
 
-    /// Returns whether each upstream has an event of its own.
+    /// Returns whether each upstream gets its own log event.
     pub(super) fn has_events(&self) -> bool {
         !self.is_bulk
     }
 
-    /// Notes that an entry is missing and may come back.
+    /// Counts an entry that is missing and may reappear.
     pub(super) fn note_expired(&mut self) {
         self.expired += 1;
     }
 
-    /// Logs what the upstreams have no events of their own for.
+    /// Logs the counts if the upstreams got no log events of their own.
     pub(super) fn finish(self, core: &Core) {
         if self.is_bulk && self.new + self.draining + self.expired + self.gone > 0 {
             emit!(core.logger, info, event::UPSTREAMS_CHANGED, "new" => self.new, "draining" => self.draining,
@@ -57,15 +57,15 @@
     }
 }
 
-/// Puts one fact in force.
-pub(super) fn apply(core: &Core, fact: DecodedItem, revision: Revision, tally: &mut Tally) {
+/// Applies one decoded item of the store.
+pub(super) fn apply(core: &Core, fact: DecodedItem, revision: Revision, summary: &mut UpdateSummary) {
     match fact {
-        DecodedItem::Configuration(configuration) => put_rules(core, *configuration),
+        DecodedItem::Configuration(configuration) => apply_rules(core, *configuration),
         DecodedItem::Upstream(id, registration) => {
-            apply_registration(core, &id, registration, revision, tally)
+            apply_registration(core, &id, registration, revision, summary)
         }
         DecodedItem::Weights(named) => {
-            // The release may have been at any time since the last update.
+            // The version may have been released at any time since the last update.
             let earliest = core.verified_at.get();
             let mut weights = core.weights.borrow_mut();
             let history = weights.entry(named.model.clone()).or_default();
@@ -73,14 +73,14 @@
                 emit!(core.logger, info, event::WEIGHTS_RELEASED, "model" => named.model, "version" => named.version);
             }
         }
-        DecodedItem::BoxItem(item) => own(core, item),
+        DecodedItem::BoxItem(item) => apply_own_item(core, item),
         DecodedItem::Unreadable { key, why } => {
             emit!(core.logger, error, event::STORE_UNREADABLE, "key" => key, "why" => why);
         }
     }
 }
 
-fn put_rules(core: &Core, configuration: Configuration) {
+fn apply_rules(core: &Core, configuration: Configuration) {
     let known = core
         .configuration()
         .map_or(0, |configuration| configuration.version);
@@ -103,29 +103,29 @@
     id: &str,
     registration: Registration,
     revision: Revision,
-    tally: &mut Tally,
+    summary: &mut UpdateSummary,
 ) {
     let why = match &registration {
         Registration::Unreadable(why) => why.clone(),
         Registration::Entry(_) | Registration::Gone => String::new(),
     };
-    let seen = core
+    let transition = core
         .upstreams
         .borrow_mut()
         .apply_registration(id, registration, revision);
-    match seen {
+    match transition {
         Transition::Added => {
-            tally.new += 1;
-            seen_new(core, id, tally);
+            summary.new += 1;
+            log_added(core, id, summary);
         }
-        Transition::Restarted(ended) => seen_again(core, id, ended),
+        Transition::Restarted(ended) => log_restarted(core, id, ended),
         Transition::Draining => {
-            tally.draining += 1;
-            if tally.has_events() {
+            summary.draining += 1;
+            if summary.has_events() {
                 emit!(core.logger, info, event::UPSTREAM_DRAINING, "upstream" => id, "why" => "entry");
             }
         }
-        Transition::Missing => missing::miss(core, id, tally.comes_back, tally),
+        Transition::Missing => missing::handle_missing(core, id, summary.reappears_until, summary),
         Transition::Unreadable => {
             emit!(core.logger, warn, event::UPSTREAM_UNREADABLE, "upstream" => id, "why" => why)
         }
@@ -133,8 +133,8 @@
     }
 }
 
-fn seen_new(core: &Core, id: &str, tally: &Tally) {
-    if !tally.has_events() {
+fn log_added(core: &Core, id: &str, summary: &UpdateSummary) {
+    if !summary.has_events() {
         return;
     }
     if let Some(Upstream { entry, .. }) = core.upstreams.borrow().get(id) {
@@ -143,7 +143,7 @@
     }
 }
 
-fn seen_again(core: &Core, id: &str, ended: EndedInstance) {
+fn log_restarted(core: &Core, id: &str, ended: EndedInstance) {
     if let Some(upstream) = core.upstreams.borrow().get(id) {
         restart::log(
             core,
@@ -155,22 +155,22 @@
     }
 }
 
-/// Takes an upstream off.
-pub(super) fn gone(core: &Core, id: &str, tally: &mut Tally) {
+/// Removes an upstream from the registry.
+pub(super) fn remove_upstream(core: &Core, id: &str, summary: &mut UpdateSummary) {
     if core.upstreams.borrow_mut().remove(id).is_none() {
         return;
     }
-    tally.gone += 1;
-    if tally.has_events() {
+    summary.gone += 1;
+    if summary.has_events() {
         emit!(core.logger, info, event::UPSTREAM_GONE, "upstream" => id);
     }
 }
 
-fn own(core: &Core, item: Change) {
+fn apply_own_item(core: &Core, item: Change) {
     let mut own = core.box_items.borrow_mut();
     let known = own.get(&item.key);
     let newer = known.is_none_or(|known| known.revision < item.revision);
-    // A box that a restored store lacks is still at its address, and writes it again.
+    // A box whose address was lost in a restore of the store is still there, and writes the address again.
     let is_lost = known.is_some_and(|known| known.revision.era < item.revision.era) && item.value.is_none();
     if newer && !(is_lost && item.key.starts_with(peers::ADDRESS_KEY_PREFIX)) {
         if item.key.starts_with(peers::ADDRESS_KEY_PREFIX) {
--- a/crates/jb-relay/src/follow/mod.rs
+++ b/crates/jb-relay/src/follow/mod.rs
@@ -1,4 +1,4 @@
-//! Follows the platform's store: the configuration, upstreams, weights, and the boxes' own items.
+//! Follows changes of the platform's store: the configuration, upstreams, weights, and items of the boxes.
 
 mod facts;
 mod missing;
--- a/crates/jb-relay/src/follow/resurrected.rs
+++ b/crates/jb-relay/src/follow/resurrected.rs
@@ -1,7 +1,7 @@
-//! Entries of upstreams that had gone, back with a restore of the store from a copy.
+//! Entries of deregistered upstreams that reappear when the store is restored from a backup.
 //!
-//! Their upstreams have ended, or serve on for a while without new requests. An upstream that is alive after all
-//! writes its entry anew, or its entry outlasts the time in which that of an ended one goes again.
+//! Their upstreams have ended, or are finishing requests without accepting new ones. An upstream that is alive after
+//! all writes its entry again, or its entry outlasts the time in which the entry of an ended upstream expires.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,10 @@
 use crate::core::Core;
 use crate::port::Change;
 
-/// Heartbeats after a restore for which such an entry isn't used: it goes after three without one.
+/// Heartbeat intervals after a restore for which such an entry isn't used: entries expire after three without one.
 const HELD_BACK_HEARTBEATS: u32 = 4;
 
-/// Entries that aren't used yet.
+/// Entries that are held back after a restore.
 #[derive(Debug, Default)]
 pub(super) struct Resurrected {
     entries: BTreeMap<String, Change>,
@@ -21,8 +21,8 @@
 }
 
 impl Resurrected {
-    /// Holds back the entries of upstreams that this box knows to have gone; called with everything that the
-    /// store holds after a restore.
+    /// Holds back the entries of upstreams that this box knows to be deregistered. `all` is the whole content of the
+    /// restored store.
     pub(super) fn note_restore(&mut self, core: &Core, all: &[Change]) {
         let upstreams = core.upstreams.borrow();
         let has_gone = |change: &&Change| {
@@ -37,7 +37,7 @@
         self.until = core.now() + core.settings.bounds.heartbeat_interval * HELD_BACK_HEARTBEATS;
     }
 
-    /// Returns whether a change is one that is held back; a newer one of the same upstream replaces it.
+    /// Returns whether a change is held back. A newer one of the same upstream is not, and releases the held one.
     pub(super) fn holds(&mut self, change: &Change) -> bool {
         let held = self.entries.get(&change.key).map(|held| held.revision);
         if held.is_some_and(|held| held < change.revision) {
@@ -46,7 +46,7 @@
         held == Some(change.revision)
     }
 
-    /// Returns the entries that have outlasted the time.
+    /// Removes and returns the entries held back if the time has passed.
     pub(super) fn take_due(&mut self, now: Moment) -> Vec<Change> {
         if now < self.until {
             return Vec::new();
--- a/crates/jb-relay/src/follow/run.rs
+++ b/crates/jb-relay/src/follow/run.rs
@@ -1,7 +1,7 @@
-//! The calls that follow the store, and the questions to other boxes in their place.
+//! Polling of the store, or of other boxes instead.
 //!
-//! A call that waits proves nothing until it answers, so calls are short: what
-//! an answer shows was true when the call was sent, at the earliest.
+//! A response proves what the store held when the call was sent, at the earliest, and a call that waits proves
+//! nothing until it returns. Calls are therefore short.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
-use super::facts::{Tally, apply};
+use super::facts::{UpdateSummary, apply};
 use super::missing::{self, Partition};
 use super::resurrected::Resurrected;
 use super::start_up;
@@ -21,111 +21,111 @@
 use crate::peers;
 use crate::port::{Change, ChangeBatch, Consistency, Revision, StoreError};
 
-/// Pause between two calls: with the way there and back well under the time in which a
-/// configuration must be in force and a leaving upstream be known.
+/// Interval between two calls to the store. With the round trip, it is well below the time within which a new
+/// configuration must be applied and a draining upstream must be known.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(700);
-/// Pause between two questions to the relay node of the data hall, which add to the age of its own call.
-const ASK_PERIOD: Duration = Duration::from_millis(350);
-/// Pause after a call that failed.
-const AFTER_FAILURE: Duration = Duration::from_millis(400);
-/// Pause between two calls while calls fail and other boxes send updates: one box
-/// that is turned away would make the boxes of its data hall read the store themselves.
-const TRY_AGAIN: Duration = Duration::from_millis(2000);
+/// Interval between two requests to the relay node of the data hall; it adds to the age of the relay node's own call.
+const PEER_POLL_INTERVAL: Duration = Duration::from_millis(350);
+/// Pause after a failed call.
+const FAILURE_PAUSE: Duration = Duration::from_millis(400);
+/// Interval between two calls while calls fail and other boxes send updates. With a shorter one, a single box that
+/// the store rejects would make the boxes of its data hall read the store themselves.
+const RETRY_INTERVAL: Duration = Duration::from_millis(2000);
 
-/// Progress of following.
+/// Progress in following the store.
 #[derive(Debug, Default)]
 struct Progress {
-    /// Revision after which to ask; `None` when all must be read.
+    /// Revision after which to request changes; `None` if the whole content must be read.
     after: Option<Revision>,
-    /// Whether what is known is still as old as a stale read, and proves nothing.
-    unproven: bool,
-    /// Whether history was gone after the last reading of all.
-    gone: bool,
-    /// Since when the own calls fail.
-    failing: Option<Failing>,
-    /// The last time without any update.
+    /// Whether the known content is from a stale read, which proves nothing.
+    is_stale: bool,
+    /// Whether the store's history no longer reached back to the last full read.
+    is_history_gone: bool,
+    /// Failure of this box's calls; `None` while they succeed.
+    failing: Option<Failure>,
+    /// Last partition.
     partition: Partition,
-    /// Entries that are back with a restore.
+    /// Entries that reappeared in a restore of the store.
     resurrected: Resurrected,
 }
 
-/// Own calls that fail.
+/// Failure of this box's calls to the store.
 #[derive(Clone, Copy, Debug)]
-struct Failing {
-    /// When the first of them did.
+struct Failure {
+    /// Time of the first failed call.
     since: Moment,
-    /// When the last of them did.
+    /// Time of the last failed call.
     last: Moment,
 }
 
-/// An update of the store.
+/// An update of the store's content.
 pub(super) struct Update {
     pub(super) from: UpdateOrigin,
     pub(super) changes: Vec<Change>,
-    /// Whether they are all that the store holds.
+    /// Whether `changes` is the whole content of the store.
     pub(super) whole: bool,
-    /// Revision after them.
+    /// Revision of the store after the changes.
     pub(super) revision: Revision,
-    /// When it was true, at the earliest; `None` when it may be as old as a stale read.
+    /// Earliest time at which the store held this content; `None` for a stale read, which proves nothing.
     pub(super) proven: Option<Moment>,
 }
 
-/// Follows the store for ever, through the relay node of the data hall where it can.
+/// Follows the store forever, through the relay node of the data hall where possible.
 pub async fn run(core: Shared, socket: Rc<UdpSocket>) {
     let mut progress = Progress::default();
     if let Some(update) = start_up::load(&core).await {
-        take(&core, &mut progress, update);
+        apply_update(&core, &mut progress, update);
     }
     loop {
-        match ask(&core, &socket, &progress).await {
-            Asked::Update(update) => {
-                take(&core, &mut progress, update);
-                sleep(ASK_PERIOD).await;
+        match ask_peers(&core, &socket, &progress).await {
+            PeerAnswer::Update(update) => {
+                apply_update(&core, &mut progress, update);
+                sleep(PEER_POLL_INTERVAL).await;
             }
-            Asked::Wait => sleep(ASK_PERIOD).await,
-            Asked::Nothing => read(&core, &mut progress).await,
+            PeerAnswer::Wait => sleep(PEER_POLL_INTERVAL).await,
+            PeerAnswer::ReadStore => read_store(&core, &mut progress).await,
         }
     }
 }
 
-/// What asking other boxes has come to.
-enum Asked {
+/// Result of requesting an update from other boxes.
+enum PeerAnswer {
     Update(Update),
-    /// Others are expected to have one soon.
+    /// Other boxes are expected to have an update soon.
     Wait,
-    /// This box is to read the store itself.
-    Nothing,
+    /// This box must read the store itself.
+    ReadStore,
 }
 
-/// Asks other boxes, unless this one is to read the store itself.
-async fn ask(core: &Core, socket: &UdpSocket, progress: &Progress) -> Asked {
+/// Requests an update from other boxes, unless this box must read the store itself.
+async fn ask_peers(core: &Core, socket: &UdpSocket, progress: &Progress) -> PeerAnswer {
     let level = level(core);
     let (after, source) = match progress.failing {
-        Some(failing) if core.now() > failing.last + TRY_AGAIN.max(level.retry_interval()) => {
-            return Asked::Nothing;
+        Some(failing) if core.now() > failing.last + RETRY_INTERVAL.max(level.retry_interval()) => {
+            return PeerAnswer::ReadStore;
         }
-        // Also where it must read everything and can't: others may have what it lacks.
-        Some(_) => (known(core), peers::Source::AnyRelayNode),
+        // Also if this box must read everything and can't: other boxes may have what it lacks.
+        Some(_) => (known_revision(core), peers::Source::AnyRelayNode),
         None => (progress.after, peers::Source::RelayNode),
     };
     let Some(after) = after else {
-        return Asked::Nothing;
+        return PeerAnswer::ReadStore;
     };
     match peers::pull_changes(core, socket, after, source).await {
-        Ok(update) => Asked::Update(Update {
+        Ok(update) => PeerAnswer::Update(Update {
             from: UpdateOrigin::Box(source),
             whole: update.is_snapshot,
             changes: update.changes,
             revision: update.revision,
             proven: Some(update.verified_at),
         }),
-        Err(why) if waits(core, progress, level, why) => Asked::Wait,
-        Err(_) => Asked::Nothing,
+        Err(why) if should_ask_again(core, progress, level, why) => PeerAnswer::Wait,
+        Err(_) => PeerAnswer::ReadStore,
     }
 }
 
-/// Returns whether a box that has received no update asks again before it calls the store.
-fn waits(core: &Core, progress: &Progress, level: Level, why: peers::PullError) -> bool {
+/// Returns whether to ask other boxes again, after they sent no update, before calling the store.
+fn should_ask_again(core: &Core, progress: &Progress, level: Level, why: peers::PullError) -> bool {
     match progress.failing {
         Some(failing) => core.now() < failing.last + level.retry_interval(),
         None => {
@@ -135,43 +135,43 @@
     }
 }
 
-/// Level of this box in the tree of its data hall.
+/// Returns the level of this box in the distribution tree of its data hall.
 fn level(core: &Core) -> Level {
     let (own, hall) = (&core.settings.id, &core.settings.hall);
     core.book.borrow().level(own, hall)
 }
 
-/// Has another box send what has changed since the store's history was gone, where the store has many pages.
+/// Fetches from another box the changes that the store's history no longer contains, if the store has many pages.
 async fn catch_up(core: &Core) -> Option<Update> {
-    let after = known(core).filter(|_| core.is_store_paged())?;
+    let after = known_revision(core).filter(|_| core.is_store_paged())?;
     start_up::catch_up(core, after).await
 }
 
-/// Revision of the last update; `None` before the first.
-fn known(core: &Core) -> Option<Revision> {
+/// Returns the revision of the last update; `None` before the first.
+fn known_revision(core: &Core) -> Option<Revision> {
     core.has_store_state()
         .then(|| core.change_log.borrow().revision())
 }
 
-/// Reads the store itself, or what another box has read where everything must be.
-async fn read(core: &Core, progress: &mut Progress) {
+/// Reads from the store, or from another box if the whole content is needed and another box has it.
+async fn read_store(core: &Core, progress: &mut Progress) {
     if progress.after.is_none()
         && let Some(update) = catch_up(core).await
     {
-        take(core, progress, update);
+        apply_update(core, progress, update);
         return;
     }
     let asked = core.now();
     core.metrics.store_calls.inc();
-    // A stale reading may be older than the history that is left.
-    let age = if progress.gone {
+    // A stale read may be older than the remaining history.
+    let age = if progress.is_history_gone {
         Consistency::Fresh
     } else {
         Consistency::Stale
     };
-    // A store that has been lost is to say at once that it is back.
-    let waits = !progress.unproven && progress.failing.is_none();
-    let wait = if waits { POLL_INTERVAL } else { Duration::ZERO };
+    // After failed calls or a stale read, the store must respond at once: the response proves that it is available.
+    let may_wait = !progress.is_stale && progress.failing.is_none();
+    let wait = if may_wait { POLL_INTERVAL } else { Duration::ZERO };
     let news = match progress.after {
         Some(after) => core.store.changes(after, wait).await,
         None => core.store.all_items(age).await,
@@ -179,8 +179,8 @@
     let stale = progress.after.is_none() && age == Consistency::Stale;
     match news {
         Ok(ChangeBatch { changes, revision }) => {
-            found(core, progress);
-            take(
+            note_recovery(core, progress);
+            apply_update(
                 core,
                 progress,
                 Update {
@@ -196,23 +196,23 @@
             }
         }
         Err(why @ (StoreError::HistoryGone | StoreError::Restored)) => {
-            found(core, progress);
+            note_recovery(core, progress);
             let after = progress.after.take();
             emit!(core.logger, info, event::HISTORY_GONE, "after" => after.map(|after| after.to_string()),
                 "why" => %why);
-            progress.gone = true;
+            progress.is_history_gone = true;
             if after.is_none() {
-                sleep(AFTER_FAILURE).await;
+                sleep(FAILURE_PAUSE).await;
             }
         }
         Err(why) => {
-            lost(core, progress, &why);
-            sleep(AFTER_FAILURE).await;
+            note_failure(core, progress, &why);
+            sleep(FAILURE_PAUSE).await;
         }
     }
 }
 
-fn lost(core: &Core, progress: &mut Progress, why: &StoreError) {
+fn note_failure(core: &Core, progress: &mut Progress, why: &StoreError) {
     let now = core.now();
     core.metrics.store_failures.inc();
     core.update_origin.set(None);
@@ -220,22 +220,22 @@
         emit!(core.logger, warn, event::PLATFORM_LOST, "why" => %why);
     }
     let since = progress.failing.map_or(now, |failing| failing.since);
-    progress.failing = Some(Failing { since, last: now });
+    progress.failing = Some(Failure { since, last: now });
 }
 
-fn found(core: &Core, progress: &mut Progress) {
+fn note_recovery(core: &Core, progress: &mut Progress) {
     if let Some(failing) = progress.failing.take() {
         emit!(core.logger, info, event::PLATFORM_FOUND,
             "after_ms" => core.now().saturating_sub(failing.since).as_millis() as u64);
     }
 }
 
-/// Notes the era of an update; returns whether it is the first one after a restore of the store.
+/// Records the era of an update; returns whether it is the first one after a restore of the store.
 fn note_era(core: &Core, from: UpdateOrigin, revision: Revision) -> bool {
     core.metrics
         .store_era
         .set(i64::try_from(revision.era).unwrap_or(i64::MAX));
-    let Some(known) = known(core).filter(|known| known.era < revision.era) else {
+    let Some(known) = known_revision(core).filter(|known| known.era < revision.era) else {
         return false;
     };
     emit!(core.logger, warn, event::STORE_RESTORED, "known" => %known, "revision" => %revision, "from" => ?from);
@@ -244,7 +244,7 @@
 }
 
 /// Applies an update.
-fn take(core: &Core, progress: &mut Progress, update: Update) {
+fn apply_update(core: &Core, progress: &mut Progress, update: Update) {
     let Update {
         from,
         mut changes,
@@ -252,12 +252,12 @@
         revision,
         proven,
     } = update;
-    if known(core).is_none() {
+    if known_revision(core).is_none() {
         core.note_first_answer(revision.era);
         emit!(core.logger, info, event::STORE_LOADED, "from" => ?from, "items" => changes.len(),
             "after_ms" => core.now().as_millis() as u64);
     }
-    let before = known(core);
+    let before = known_revision(core);
     let is_restored = note_era(core, from, revision);
     if whole {
         let missing = core.mirror.borrow().deletions(&changes, revision);
@@ -274,29 +274,29 @@
     progress
         .partition
         .note(core, proven.unwrap_or_else(|| core.now()));
-    let comes_back = progress.partition.comes_back_until(core);
+    let reappears_until = progress.partition.reappears_until(core);
     if is_restored {
         progress.resurrected.note_restore(core, &changes);
     }
-    let mut tally = Tally::new(changes.len(), comes_back);
+    let mut summary = UpdateSummary::new(changes.len(), reappears_until);
     for change in progress.resurrected.take_due(core.now()) {
-        apply(core, core.store.decode(&change), change.revision, &mut tally);
+        apply(core, core.store.decode(&change), change.revision, &mut summary);
     }
     for change in &changes {
         core.mirror.borrow_mut().apply(change);
         if progress.resurrected.holds(change) {
             continue;
         }
-        apply(core, core.store.decode(change), change.revision, &mut tally);
+        apply(core, core.store.decode(change), change.revision, &mut summary);
     }
-    tally.finish(core);
+    summary.finish(core);
     if changes
         .iter()
         .any(|change| change.key.starts_with(peers::ADDRESS_KEY_PREFIX))
     {
         peers::refresh_small_directory(core);
     }
-    missing::sweep(core, &progress.partition);
+    missing::remove_expired(core, &progress.partition);
     let mut log = core.change_log.borrow_mut();
     let (items, bytes) = (core.mirror.borrow().len(), core.mirror.borrow().bytes());
     log.set_store_size(items, bytes);
@@ -306,8 +306,8 @@
         log.append(&changes, revision);
     }
     progress.after = Some(revision);
-    progress.unproven = proven.is_none();
-    progress.gone &= proven.is_none();
+    progress.is_stale = proven.is_none();
+    progress.is_history_gone &= proven.is_none();
     core.update_origin.set(Some(from));
     core.verified_at.set(proven.max(core.verified_at.get()));
     if from != UpdateOrigin::Box(peers::Source::AnyRelayNode) {
--- a/crates/jb-relay/src/follow/start_up.rs
+++ b/crates/jb-relay/src/follow/start_up.rs
@@ -1,8 +1,8 @@
-//! What a box reads first, and once the store has forgotten its history.
+//! Initial load of the store's content, and catch-up after the store has discarded the needed history.
 //!
-//! A store of one page is read as it is. Beyond that a box has everything sent by another box of its data hall: if
-//! all boxes read many pages at the same time, the link of the store would be busy for longer than the first calls
-//! may take.
+//! A store with one page is read directly. A larger one is fetched from another box of the data hall: if all boxes
+//! read many pages at the same time, the store's network link would be saturated for longer than the first calls may
+//! take.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,39 +11,40 @@
 use jb_protocol::{emit, event};
 use tokio::time::{sleep, timeout};
 
-use super::facts::{Tally, apply};
+use super::facts::{UpdateSummary, apply};
 use super::run::Update;
 use crate::core::{Core, UpdateOrigin};
 use crate::peers::{self, Source, TransferError};
 use crate::port::{ChangeBatch, Consistency, Era, Page, Revision, StoreError};
 
-/// Time in which boxes that start together register.
+/// Time within which boxes that start together register.
 const REGISTRATION_TIME: Duration = Duration::from_millis(700);
-/// Time after which a box that starts reads the store itself.
-const PATIENCE: Duration = Duration::from_secs(8);
-/// Time after which a box that knows something does: it can't use that for much longer.
-const CATCH_UP_TIME: Duration = Duration::from_secs(3);
-/// Pause before other boxes are asked again.
+/// Time after which a starting box reads the store itself.
+const LOAD_TIMEOUT: Duration = Duration::from_secs(8);
+/// Time after which a box that has earlier content reads the store itself: that content soon expires.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(3);
+/// Pause before other boxes are tried again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Returns what the store holds; `None` when the box is to read the store itself.
+/// Loads the content of the store; `None` if the box must read the store itself.
 pub(super) async fn load(core: &Core) -> Option<Update> {
     core.metrics.store_calls.inc();
     let first = core.store.page("", None, Consistency::Stale).await.ok()?;
-    let until = core.now() + PATIENCE;
+    let until = core.now() + LOAD_TIMEOUT;
     let has_boxes = first
         .changes
         .iter()
         .any(|item| item.key.starts_with(peers::ADDRESS_KEY_PREFIX));
     if !has_boxes {
-        // Boxes that start together know each other by one more call then, and follow the store through one of them.
+        // Boxes that start together then learn of each other with one more call, and follow the store through one of
+        // them.
         peers::write_address(core, first.revision.era).await;
         sleep(REGISTRATION_TIME).await;
     }
     if first.next.is_none() {
         return Some(from_store(first));
     }
-    // Stale reads don't count for the rate of the store, but don't show boxes that start at the same time.
+    // Stale reads don't count towards the store's rate limit, but may miss boxes that start at the same time.
     let age = if has_boxes {
         Consistency::Stale
     } else {
@@ -63,51 +64,51 @@
 }
 
 async fn from_boxes(core: &Core, era: Era, age: Consistency, until: Moment) -> Option<Update> {
-    while let Err(why) = list(core, age).await {
+    while let Err(why) = list_boxes(core, age).await {
         emit!(core.logger, info, event::STORE_UPDATE_FAILED, "why" => %why);
         if core.now() > until {
             return None;
         }
         sleep(RETRY_INTERVAL).await;
     }
-    // Others hand the content only to boxes that are registered.
+    // Other boxes send the content only to registered boxes.
     peers::write_address(core, era).await;
     fetch(core, None, until).await
 }
 
-/// Returns what has changed after a revision that the store's history doesn't reach back to any more; `None` when
-/// the box is to read the store itself.
+/// Fetches the changes after a revision that the store's history no longer reaches back to; `None` if the box must
+/// read the store itself.
 pub(super) async fn catch_up(core: &Core, after: Revision) -> Option<Update> {
-    let fetched = fetch(core, Some(after), core.now() + CATCH_UP_TIME);
-    timeout(CATCH_UP_TIME, fetched).await.ok().flatten()
+    let fetched = fetch(core, Some(after), core.now() + CATCH_UP_TIMEOUT);
+    timeout(CATCH_UP_TIMEOUT, fetched).await.ok().flatten()
 }
 
-/// Has the content of the store sent by the nearest box of the tree that has it, or what has changed after a
-/// revision; `None` when this box is the first of its data hall, or nobody has sent it in time.
+/// Fetches the content of the store, or the changes after a revision, from the nearest ancestor in the distribution
+/// tree that has it. `None` if this box is the root of its data hall, or if no box has sent it in time.
 async fn fetch(core: &Core, after: Option<Revision>, until: Moment) -> Option<Update> {
     let (own, hall) = (&core.settings.id, &core.settings.hall);
     let sources = core.book.borrow().ancestors(own, hall);
     while core.now() < until {
         match from_any(core, &sources, after).await {
             Attempt::Done(update) => return Some(update),
-            Attempt::Later => sleep(RETRY_INTERVAL).await,
-            Attempt::Nowhere => return None,
+            Attempt::Retry => sleep(RETRY_INTERVAL).await,
+            Attempt::NoSource => return None,
         }
     }
     None
 }
 
-/// Result of asking all sources once.
+/// Result of trying all sources once.
 enum Attempt {
     Done(Update),
-    /// One of them lives, and has nothing yet.
-    Later,
-    /// This box is the first of its data hall, or all before it have gone.
-    Nowhere,
+    /// At least one source is reachable, but none has the content yet.
+    Retry,
+    /// This box is the root of its data hall, or all sources are unreachable.
+    NoSource,
 }
 
 async fn from_any(core: &Core, sources: &[SocketAddr], after: Option<Revision>) -> Attempt {
-    let mut failed = Attempt::Nowhere;
+    let mut failed = Attempt::NoSource;
     for source in sources {
         match peers::fetch_changes(core, *source, after).await {
             Ok(transfer) => {
@@ -121,7 +122,7 @@
             }
             Err(why) => {
                 if !matches!(why, TransferError::Unreachable(_)) {
-                    failed = Attempt::Later;
+                    failed = Attempt::Retry;
                 }
                 emit!(core.logger, info, event::STORE_UPDATE_FAILED, "peer" => %source, "why" => %why);
             }
@@ -131,12 +132,12 @@
 }
 
 /// Reads the addresses of the other boxes.
-async fn list(core: &Core, age: Consistency) -> Result<(), StoreError> {
+async fn list_boxes(core: &Core, age: Consistency) -> Result<(), StoreError> {
     core.metrics.store_calls.inc();
     let ChangeBatch { changes, .. } = core.store.items(peers::ADDRESS_KEY_PREFIX, age).await?;
-    let mut tally = Tally::default();
+    let mut summary = UpdateSummary::default();
     for change in changes {
-        apply(core, core.store.decode(&change), change.revision, &mut tally);
+        apply(core, core.store.decode(&change), change.revision, &mut summary);
     }
     peers::refresh_directory(core);
     Ok(())
