--- a/crates/jb-relay/tests/news.rs
+++ b/crates/jb-relay/tests/change_log.rs
@@ -1,4 +1,4 @@
-//! What a box that cannot read the store itself learns from the changes that another one keeps.
+//! Log of store changes that a box keeps for other boxes which can't read the store themselves.
 
 #![allow(clippy::expect_used)]
 
@@ -11,16 +11,16 @@
 
 type State = BTreeMap<String, Revision>;
 
-/// One thing that happens to the store or to the box that follows it.
+/// One event at the store or at the box that follows it.
 #[derive(Clone, Debug)]
 enum Step {
     Write(u8),
     Remove(u8),
-    /// The box receives what is new, or reads everything after a restore.
+    /// The box receives the new changes, or reads everything after a restore.
     Receive,
-    /// History is gone: the box reads everything.
+    /// The store has discarded history: the box reads everything.
     ReadAll,
-    /// The store goes back by so many revisions, as far as it has them.
+    /// The store is restored to an earlier revision, by this number of revisions at most.
     Restore(u8),
 }
 
@@ -45,32 +45,32 @@
     }
 }
 
-/// The store, with its history, and a box that follows it.
-struct World {
-    /// What the store held at each revision of all eras.
+/// The store with its history, and a box that follows it.
+struct Simulation {
+    /// Content of the store at each revision of all eras.
     states: BTreeMap<Revision, State>,
-    /// Changes of the present era.
+    /// Changes of the current era.
     history: Vec<Change>,
     revision: Revision,
     log: ChangeLog,
-    /// What the box knows.
+    /// Content that the box knows.
     known: State,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let revision = Revision::start_of(1);
-        let mut world = Self {
+        let mut simulation = Self {
             states: BTreeMap::from([(revision, State::new())]),
             history: Vec::new(),
             revision,
             log: ChangeLog::default(),
             known: State::new(),
         };
-        world.put("first");
-        world.log.append_snapshot(Vec::new(), world.revision);
-        world.known = world.now().clone();
-        world
+        simulation.put("first");
+        simulation.log.append_snapshot(Vec::new(), simulation.revision);
+        simulation.known = simulation.now().clone();
+        simulation
     }
 
     fn now(&self) -> &State {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Goes back and begins an era, which has the revisions up to there, too.
+    /// Restores an earlier revision and begins a new era, which has the revisions up to it as well.
     fn restore(&mut self, by: u8) {
         let era = self.revision.era;
         let last = self.revision.number.saturating_sub(by.into());
@@ -153,11 +153,11 @@
         }
     }
 
-    /// What a box makes of the changes that knew the store as it was at `after`.
+    /// Returns the content known to a box that had the store's content at `after` and receives the changes since.
     fn received(&self, after: Revision) -> Option<State> {
         let mut state = self.states[&after].clone();
         if after.era < self.log.revision().era {
-            // It receives everything.
+            // The box receives the whole content.
             state.clear();
         }
         for change in self.log.since(after)? {
@@ -170,19 +170,19 @@
     }
 }
 
-/// Whoever is told changes at all knows the store as it is afterwards, from whatever revision of whatever
-/// era it starts, and with however much history gone in between.
+/// A box that receives changes at all knows the current content of the store afterwards, from any revision of any
+/// era on, and with any amount of history discarded in between.
 #[test]
-fn whoever_is_told_changes_knows_the_store_as_it_is() {
+fn box_that_receives_changes_knows_the_current_content() {
     fn holds(steps: Vec<Step>) -> bool {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         steps.iter().all(|step| {
-            world.step(step);
-            let known = world.log.revision();
-            let all = world.states.keys().filter(|revision| revision.number > 0);
+            simulation.step(step);
+            let known = simulation.log.revision();
+            let all = simulation.states.keys().filter(|revision| revision.number > 0);
             all.filter(|after| **after <= known).all(|after| {
-                let received = world.received(*after);
-                received.is_none_or(|received| received == world.states[&known])
+                let received = simulation.received(*after);
+                received.is_none_or(|received| received == simulation.states[&known])
             })
         })
     }
@@ -192,35 +192,37 @@
         .quickcheck(holds as fn(Vec<Step>) -> bool);
 }
 
-/// A box that has seen a later era than its relay node would otherwise be told that nothing has changed.
+/// Guards against an answer without changes, which would mean that the box is up to date, to a box that has seen a
+/// later era than its relay node.
 #[test]
-fn box_that_knows_a_later_era_is_told_nothing() {
-    let mut world = World::new();
-    world.put("engine");
-    world.receive();
-    world.restore(1);
-    assert!(world.log.since(world.revision).is_none());
+fn box_that_knows_a_later_era_receives_no_changes() {
+    let mut simulation = Simulation::new();
+    simulation.put("engine");
+    simulation.receive();
+    simulation.restore(1);
+    assert!(simulation.log.since(simulation.revision).is_none());
 }
 
-/// A log that began anew with each reading of everything told boxes nothing that the store turned
-/// away, and these sent to engines that had left.
+/// Guards against a log that starts again with each full read: boxes that the store rejected then received no changes
+/// and sent requests to engines that had ended.
 #[test]
-fn reading_of_everything_is_told_to_a_box_that_knew_what_came_before() {
-    let mut world = World::new();
-    world.put("engine");
-    world.receive();
-    let before = world.revision;
-    world.remove("engine");
-    world.put("rules");
-    world.read_all();
-    let received = world.received(before).expect("changes");
-    assert_eq!(&received, world.now());
+fn changes_of_a_full_read_reach_a_box_that_knew_the_content_before() {
+    let mut simulation = Simulation::new();
+    simulation.put("engine");
+    simulation.receive();
+    let before = simulation.revision;
+    simulation.remove("engine");
+    simulation.put("rules");
+    simulation.read_all();
+    let received = simulation.received(before).expect("changes");
+    assert_eq!(&received, simulation.now());
     assert!(!received.contains_key("engine"));
 }
 
-/// Removals of a seventh of 10,000 upstreams at once outran the log, and every box read the whole store.
+/// Guards against a log that is too short: when a seventh of 10,000 upstreams was removed at once, the log no longer
+/// covered the changes and every box read the whole store.
 #[test]
-fn log_reaches_back_over_as_many_changes_as_the_store_holds() {
+fn log_holds_as_many_changes_as_the_store_has_items() {
     for items in [10_000, 20_000] {
         let at = |number| Revision { era: 1, number };
         let mut log = ChangeLog::default();
--- a/crates/jb-relay/tests/http.rs
+++ b/crates/jb-relay/tests/http.rs
@@ -1,4 +1,4 @@
-//! Heads and bodies on the byte level.
+//! Parsing of HTTP/1.1 heads and bodies, at the byte level.
 
 #![allow(clippy::expect_used)]
 
@@ -7,7 +7,7 @@
 use jb_relay::http::{BodyDecoder, Framing, RequestHead, ResponseHead, Step};
 use quickcheck::{Gen, QuickCheck};
 
-/// Decodes a body that comes in pieces of the given sizes.
+/// Decodes a body that arrives in pieces of the given sizes.
 fn decode(framing: Framing, bytes: &[u8], sizes: &[usize]) -> Option<(Bytes, usize)> {
     let mut body = BodyDecoder::new(framing);
     let (mut buffer, mut whole, mut at) = (BytesMut::new(), BytesMut::new(), 0);
@@ -29,7 +29,7 @@
 }
 
 fn check<A: quickcheck::Testable>(property: A) {
-    // The seed is fixed, so each run tries the same cases.
+    // The seed is fixed, so that each run tries the same cases.
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(64, 7))
         .tests(300)
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn chunked_body_is_the_same_however_it_is_cut() {
+fn chunked_body_decodes_the_same_for_every_split_into_reads() {
     fn holds(chunks: Vec<Vec<u8>>, sizes: Vec<usize>) -> bool {
         let chunks: Vec<_> = chunks.into_iter().filter(|chunk| !chunk.is_empty()).collect();
         let mut coded = Vec::new();
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn events_are_the_same_however_they_are_cut() {
+fn events_decode_the_same_for_every_split_into_reads() {
     fn holds(count: u8, sizes: Vec<usize>) -> bool {
         let text: Vec<String> = (0..count)
             .map(|id| format!("id: {id}\ndata: {}\n\n", "x".repeat(id.into())))
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn any_bytes_are_a_head_or_an_error_or_incomplete_and_never_a_panic() {
+fn arbitrary_bytes_never_cause_a_panic() {
     fn holds(bytes: Vec<u8>) -> bool {
         let mut buffer = BytesMut::from(&bytes[..]);
         let _ = RequestHead::parse(&mut buffer.clone());
@@ -91,26 +91,32 @@
 }
 
 #[test]
-fn answer_without_a_length_ends_with_its_connection() {
+fn response_without_a_length_ends_with_its_connection() {
     let mut buffer = BytesMut::from("HTTP/1.1 200 OK\r\nA: b\r\n\r\nrest");
-    let answer = ResponseHead::parse(&mut buffer)
+    let response = ResponseHead::parse(&mut buffer)
         .expect("a head")
         .expect("complete");
-    assert_eq!((answer.framing, answer.keep_alive), (Framing::UntilClose, false));
+    assert_eq!(
+        (response.framing, response.keep_alive),
+        (Framing::UntilClose, false)
+    );
     let mut buffer = BytesMut::from("HTTP/1.1 204 No Content\r\n\r\n");
-    let answer = ResponseHead::parse(&mut buffer)
+    let response = ResponseHead::parse(&mut buffer)
         .expect("a head")
         .expect("complete");
-    assert_eq!((answer.framing, answer.keep_alive), (Framing::Length(0), true));
+    assert_eq!(
+        (response.framing, response.keep_alive),
+        (Framing::Length(0), true)
+    );
 }
 
 #[test]
-fn headers_of_one_connection_do_not_travel() {
+fn hop_by_hop_headers_are_not_forwarded() {
     let head = "GET /a HTTP/1.1\r\nHost: h\r\nConnection: x-hop, close\r\nX-Hop: 1\r\nTE: trailers\r\nX-Own: 2\r\n\r\n";
-    let query = RequestHead::parse(&mut BytesMut::from(head))
+    let request = RequestHead::parse(&mut BytesMut::from(head))
         .expect("a head")
         .expect("complete");
-    let names: Vec<_> = query.headers.end_to_end().map(|h| h.name.clone()).collect();
+    let names: Vec<_> = request.headers.end_to_end().map(|h| h.name.clone()).collect();
     assert_eq!(names, ["Host", "X-Own"]);
-    assert!(!query.keep_alive);
+    assert!(!request.keep_alive);
 }
--- a/crates/jb-relay/tests/instances.rs
+++ b/crates/jb-relay/tests/instances.rs
@@ -1,4 +1,4 @@
-//! Upstreams that start again under their id, and entries that cannot be read.
+//! Upstreams that restart under their id, and entries that can't be decoded.
 
 #![allow(clippy::expect_used)]
 
@@ -28,14 +28,14 @@
     })
 }
 
-fn leaves() -> Signals {
+fn draining() -> Signals {
     Signals {
         draining: true,
         ..Signals::default()
     }
 }
 
-fn asks_for(backoff: Duration) -> Signals {
+fn retry_after(backoff: Duration) -> Signals {
     Signals {
         retry_after: Some(backoff),
         ..Signals::default()
@@ -46,25 +46,25 @@
     Registration::Unreadable("no JSON".to_owned())
 }
 
-fn is_open(registry: &Registry) -> bool {
+fn is_available(registry: &Registry) -> bool {
     registry
         .get("engine")
         .is_some_and(|upstream| upstream.is_available(NOW))
 }
 
-/// All that was believed of an engine was believed of the next one under its id.
+/// Guards against state of an engine that is carried over to the next instance under its id.
 #[test]
-fn restart_clears_what_was_true_of_the_life_before() {
+fn restart_clears_the_state_of_the_previous_instance() {
     let mut registry = Registry::default();
     assert_eq!(
         registry.apply_registration("engine", entry(Some(FIRST), false), at(1)),
         Transition::Added
     );
     let instance = registry.get("engine").expect("known").instance.clone();
-    let known = registry.instance_mut(&instance).expect("its life");
+    let known = registry.instance_mut(&instance).expect("its instance");
     known.running = 3;
     known.replaced = true;
-    known.backoff.observe(asks_for(NOW * 2), 1, NOW);
+    known.backoff.observe(retry_after(NOW * 2), 1, NOW);
     assert!(
         matches!(registry.apply_registration("engine", entry(Some(SECOND), false), at(2)), Transition::Restarted(ended)
         if ended.started_at == Some(FIRST) && ended.running == 3)
@@ -74,61 +74,62 @@
         (again.running, again.replaced, again.is_available(NOW)),
         (0, false, true)
     );
-    // The request that ends only now was one of the life before.
+    // A request that ends now belongs to the previous instance.
     assert!(registry.instance_mut(&instance).is_none());
 }
 
 #[test]
-fn instance_that_drains_and_restarts_serves_and_late_registrations_change_nothing() {
+fn drained_instance_serves_after_a_restart_despite_late_registrations() {
     let mut registry = Registry::default();
     registry.apply_registration("engine", entry(Some(FIRST), false), at(1));
     assert_eq!(
         registry.apply_registration("engine", entry(Some(FIRST), true), at(2)),
         Transition::Draining
     );
-    // It has said that it leaves, whatever another writer says later.
+    // Draining is final for an instance, whatever another writer registers later.
     registry.apply_registration("engine", entry(Some(FIRST), false), at(3));
-    assert!(!is_open(&registry));
+    assert!(!is_available(&registry));
     assert!(matches!(
         registry.apply_registration("engine", entry(Some(SECOND), false), at(4)),
         Transition::Restarted(_)
     ));
-    assert!(is_open(&registry));
+    assert!(is_available(&registry));
     assert_eq!(
         registry.apply_registration("engine", entry(Some(FIRST), true), at(5)),
         Transition::Unchanged
     );
-    assert!(is_open(&registry));
+    assert!(is_available(&registry));
 }
 
-/// Read one by one such a change left the engine in use; in a reading of everything it took it off.
+/// Guards against different results of incremental and full reads: an undecodable entry left the engine in use in the
+/// former and removed it in the latter.
 #[test]
-fn entry_that_cannot_be_read_names_no_engine_until_it_can() {
+fn engine_with_an_undecodable_entry_is_unavailable_until_the_entry_is_valid() {
     let mut registry = Registry::default();
     registry.apply_registration("engine", entry(Some(FIRST), false), at(1));
     assert_eq!(
         registry.apply_registration("engine", unreadable(), at(2)),
         Transition::Unreadable
     );
-    assert!(!is_open(&registry));
-    // Written again and again it is told once.
+    assert!(!is_available(&registry));
+    // Repeated writes are reported only once.
     assert_eq!(
         registry.apply_registration("engine", unreadable(), at(3)),
         Transition::Unchanged
     );
     registry.apply_registration("engine", entry(Some(FIRST), false), at(4));
-    assert!(is_open(&registry));
+    assert!(is_available(&registry));
 }
 
-/// Where engines say when they started, an entry without that is of another writer; a platform on
-/// which none does has a new id for each start.
+/// If engines register start times, an entry without one is from another writer. A platform on which no engine
+/// registers one assigns a new id at each start.
 #[test]
-fn entry_without_a_start_counts_only_where_no_engine_tells_its_own() {
+fn entry_without_a_start_time_is_used_only_if_no_engine_registers_one() {
     let mut registry = Registry::default();
     registry.apply_registration("engine", entry(None, false), at(1));
-    assert!(is_open(&registry));
+    assert!(is_available(&registry));
     registry.apply_registration("other", entry(Some(FIRST), false), at(2));
-    assert!(!is_open(&registry));
+    assert!(!is_available(&registry));
     assert_eq!(
         registry.apply_registration("third", entry(None, false), at(3)),
         Transition::Unreadable
@@ -136,37 +137,37 @@
     assert!(registry.get("third").is_none());
 }
 
-/// A start that the engine's own report shows ends the life before its entry does.
+/// A restart can show in the engine's own report before it shows in its entry.
 #[test]
-fn ended_instance_gets_nothing_until_the_next_one_is_registered() {
+fn ended_instance_receives_no_requests_until_the_next_one_is_registered() {
     let mut registry = Registry::default();
     registry.apply_registration("engine", entry(Some(FIRST), false), at(1));
     let instance = registry.get("engine").expect("known").instance.clone();
     assert!(registry.end(&instance).is_some());
-    assert!(!is_open(&registry));
+    assert!(!is_available(&registry));
     registry.apply_registration("engine", entry(Some(SECOND), false), at(2));
-    assert!(is_open(&registry));
+    assert!(is_available(&registry));
 }
 
-/// The store was away while an engine said in its answers that it leaves; the entry from before, read
-/// again, a missing one, and one that was back made it an engine like any other.
+/// Guards against an engine that drains, as its responses showed during a store outage, and is used again: after its
+/// old entry is read again, or after its entry was missing and reappears.
 #[test]
-fn instance_that_signals_draining_stays_out_whatever_its_entry_says() {
+fn instance_that_signals_draining_stays_out_regardless_of_its_entry() {
     for started_at in [None, Some(FIRST)] {
         let mut registry = Registry::default();
         registry.apply_registration("engine", entry(started_at, false), at(1));
         let instance = registry.get("engine").expect("known").instance.clone();
         assert!(!registry.observe_signals(&instance, Signals::default()));
-        assert!(is_open(&registry));
-        assert!(registry.observe_signals(&instance, leaves()));
-        assert!(!registry.observe_signals(&instance, leaves()), "told once");
-        assert!(!is_open(&registry));
+        assert!(is_available(&registry));
+        assert!(registry.observe_signals(&instance, draining()));
+        assert!(!registry.observe_signals(&instance, draining()), "reported once");
+        assert!(!is_available(&registry));
         registry.apply_registration("engine", entry(started_at, false), at(2));
-        assert!(!is_open(&registry));
+        assert!(!is_available(&registry));
         registry.apply_registration("engine", Registration::Gone, at(3));
         registry.remove("engine");
         registry.apply_registration("engine", entry(started_at, false), at(4));
-        assert!(!is_open(&registry));
+        assert!(!is_available(&registry));
     }
 }
 
@@ -175,33 +176,32 @@
     let mut registry = Registry::default();
     registry.apply_registration("engine", entry(Some(FIRST), false), at(1));
     let instance = registry.get("engine").expect("known").instance.clone();
-    registry.observe_signals(&instance, leaves());
+    registry.observe_signals(&instance, draining());
     registry.apply_registration("engine", entry(Some(SECOND), false), at(2));
-    assert!(is_open(&registry));
-    // An answer that comes late.
-    assert!(!registry.observe_signals(&instance, leaves()));
-    assert!(is_open(&registry));
+    assert!(is_available(&registry));
+    // A late response of the drained instance.
+    assert!(!registry.observe_signals(&instance, draining()));
+    assert!(is_available(&registry));
 }
 
-/// An engine that had asked for rest lost its entry in an outage of the store and had it back while the
-/// rest was not over.
+/// Guards against a requested backoff that is lost when the engine's entry expires in a store outage and reappears.
 #[test]
-fn rest_outlasts_an_entry_that_goes_and_comes_back_and_ends_with_its_life() {
+fn backoff_outlasts_an_entry_that_reappears_and_ends_with_its_instance() {
     let mut registry = Registry::default();
     for started_at in [FIRST, SECOND] {
         registry.apply_registration("engine", entry(Some(FIRST), false), at(1));
         let instance = registry.get("engine").expect("known").instance.clone();
-        let known = registry.instance_mut(&instance).expect("its life");
-        known.backoff.observe(asks_for(NOW), 1, NOW);
+        let known = registry.instance_mut(&instance).expect("its instance");
+        known.backoff.observe(retry_after(NOW), 1, NOW);
         registry.apply_registration("engine", Registration::Gone, at(2));
         registry.remove("engine");
         registry.apply_registration("engine", entry(Some(started_at), false), at(3));
-        assert_eq!(is_open(&registry), started_at == SECOND);
+        assert_eq!(is_available(&registry), started_at == SECOND);
         registry = Registry::default();
     }
 }
 
-/// One box that is wrong, or tells much.
+/// Guards against one faulty box that takes all engines of a service out.
 #[test]
 fn reports_of_other_boxes_take_out_at_most_half_of_a_service() {
     let mut registry = Registry::default();
@@ -216,16 +216,16 @@
     let received = names.iter().map(|name| registry.note_draining(&[*name]).len());
     assert_eq!(received.sum::<usize>(), 3);
     assert!(registry.note_draining(&names).is_empty());
-    // Boxes that were told do not tell again when they hear it themselves.
+    // A box that learned of draining from another box doesn't report it again when it observes the signal itself.
     let first = registry
         .iter()
         .find(|(_, u)| u.draining_by_peer)
         .map(|(_, u)| u.instance.clone());
-    assert!(!registry.observe_signals(&first.expect("told"), leaves()));
-    // What the engines say themselves has no such bound.
+    assert!(!registry.observe_signals(&first.expect("reported"), draining()));
+    // Signals of the engines themselves have no such bound.
     for id in &ids {
         let instance = registry.get(id).expect("known").instance.clone();
-        registry.observe_signals(&instance, leaves());
+        registry.observe_signals(&instance, draining());
     }
     assert!(registry.iter().all(|(_, upstream)| !upstream.is_available(NOW)));
 }
@@ -235,33 +235,33 @@
     Revision { era: 1, number }
 }
 
-/// One word of two lives, by the store, by a box, or by an answer.
+/// One message about two instances: from the store, from a box, or in a response.
 #[derive(Clone, Debug)]
 enum Step {
     Store(Registration, Revision),
-    /// A box tells that another upstream answers at the address of a life.
+    /// A box reports that another upstream responds at the address of an instance.
     Replaced(StartTime),
-    /// A life says in an answer that it leaves.
-    Answer(StartTime),
+    /// An instance signals in a response that it drains.
+    Response(StartTime),
 }
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
-        let started_at = *g.choose(&[FIRST, SECOND]).expect("a life");
-        // Revisions are distinct, as the store's are; `shuffled` gives them.
+        let started_at = *g.choose(&[FIRST, SECOND]).expect("a start time");
+        // Placeholder revisions: the property assigns distinct ones, like those of the store.
         match u8::arbitrary(g) % 9 {
             0..=2 => Self::Store(entry(Some(started_at), false), at(0)),
             3 | 4 => Self::Store(entry(Some(started_at), true), at(0)),
             5 => Self::Store(unreadable(), at(0)),
             6 => Self::Store(Registration::Gone, at(0)),
-            7 => Self::Answer(started_at),
+            7 => Self::Response(started_at),
             _ => Self::Replaced(started_at),
         }
     }
 }
 
-fn apply(registry: &mut Registry, steps: &Step) {
-    match steps {
+fn apply(registry: &mut Registry, step: &Step) {
+    match step {
         Step::Store(registration, revision) => {
             if registry.apply_registration("engine", registration.clone(), *revision) == Transition::Missing {
                 registry.remove("engine");
@@ -270,8 +270,8 @@
         Step::Replaced(started_at) => {
             registry.note_replaced(&[rendezvous::short_hash(instance(*started_at).name_hash())])
         }
-        Step::Answer(started_at) => {
-            registry.observe_signals(&instance(*started_at), leaves());
+        Step::Response(started_at) => {
+            registry.observe_signals(&instance(*started_at), draining());
         }
     }
 }
@@ -283,12 +283,12 @@
     }
 }
 
-/// Which life there is, and whether it may get requests.
+/// Returns the start time of the instance in use; `None` if there is none that can receive requests.
 fn outcome(all: &[Step]) -> Option<(Option<StartTime>, bool)> {
     let mut registry = Registry::default();
-    all.iter().for_each(|steps| apply(&mut registry, steps));
+    all.iter().for_each(|step| apply(&mut registry, step));
     let upstream = registry.get("engine")?;
-    // An upstream that is not to be used is as good as none.
+    // An unavailable upstream is equivalent to none.
     upstream
         .is_available(NOW)
         .then_some((upstream.instance.started_at, true))
@@ -300,7 +300,7 @@
         let mut steps = steps;
         for (at, one) in steps.iter_mut().enumerate() {
             if let Step::Store(_, revision) = one {
-                // Later eras give the same numbers out again.
+                // Later eras reuse the same numbers.
                 *revision = Revision {
                     era: at as u64 / 3,
                     number: at as u64 % 3 + 1,
@@ -323,7 +323,7 @@
         .quickcheck(holds as fn(Vec<Step>, Vec<(u8, u8)>) -> bool);
 }
 
-/// Guards against a limit that ends when the entry of its instance goes and comes back.
+/// Guards against a rate limit that is lost when the entry of its instance is removed and reappears.
 #[test]
 fn rate_limit_outlasts_an_entry_that_comes_back_and_ends_with_its_instance() {
     let mut registry = Registry::default();
@@ -339,7 +339,7 @@
     assert_eq!(rate(&registry), None);
 }
 
-/// The records of all but 512 engines were forgotten when a data hall of 1,626 went at once.
+/// Guards against evicted registration state: all but 512 engines were forgotten when a hall of 1,626 went at once.
 #[test]
 fn late_registration_of_one_of_many_deregistered_upstreams_changes_nothing() {
     for engines in [10_000, 20_000] {
@@ -360,9 +360,10 @@
     }
 }
 
-/// Each status of another box made a relay node look at all of 10,000 upstreams for the few with requests.
+/// Guards against work that grows with the fleet: for each status, a relay node visited all of 10,000 upstreams to find
+/// the few with requests.
 #[test]
-fn busy_upstreams_are_those_with_requests_through_ends_restarts_and_removals() {
+fn busy_upstreams_are_those_with_requests_after_ends_restarts_and_removals() {
     let mut registry = Registry::default();
     let mut instances = Vec::new();
     for number in 0..4 {
@@ -379,7 +380,7 @@
     registry.remove("engine-1");
     registry.apply_registration("engine-2", entry(Some(SECOND), false), at(2));
     assert_eq!(busy(&registry), ["engine-3"]);
-    // A request that ends only now was one of the instance before.
+    // A request that ends now belongs to the previous instance.
     registry.end_request(&instances[2], false);
     assert!(registry.begin_request(&instances[2], 10, false).is_none());
     assert!(registry.begin_request(&instances[3], 10, true).is_some());
--- a/crates/jb-relay/tests/loads.rs
+++ b/crates/jb-relay/tests/loads.rs
@@ -1,7 +1,7 @@
-//! Sums of the loads that boxes send to their relay node.
+//! Sums of the loads that boxes report to their relay node.
 //!
-//! Seen: in a hall of 164 boxes before 10,000 engines the relay node looked at every engine for each status, 820
-//! times a second, and had no time left to answer.
+//! Guards against a relay node that visits every engine for each status: in a hall of 164 boxes with 10,000 engines
+//! it did so 820 times a second and had no time left to respond.
 
 #![allow(clippy::expect_used)]
 
@@ -12,7 +12,7 @@
 use jb_relay::peers::{Loads, ReceivedStatus, UpstreamLoad};
 use quickcheck::{Gen, QuickCheck};
 
-/// A status of one of a few boxes with loads on a few upstreams.
+/// A status of one of four boxes, with loads on a few upstreams.
 #[derive(Clone, Debug)]
 struct Sent {
     from: u8,
@@ -68,7 +68,7 @@
     }
 }
 
-/// Whether sums that follow differences are those of the latest statuses.
+/// Returns whether incrementally updated sums equal the sums of the latest statuses.
 fn sums_agree(statuses: Vec<Sent>) -> bool {
     let mut loads = Loads::default();
     let mut latest: BTreeMap<u8, ReceivedStatus> = BTreeMap::new();
@@ -95,16 +95,16 @@
 }
 
 #[test]
-fn sums_are_those_of_the_latest_statuses() {
+fn incremental_sums_equal_the_sums_of_the_latest_statuses() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(20, 1))
         .tests(2000)
         .quickcheck(sums_agree as fn(Vec<Sent>) -> bool);
 }
 
-/// The work for a status grows with what it names, not with the boxes and upstreams of the fleet.
+/// The work for a status grows with the upstreams that it names, not with the boxes and upstreams of the fleet.
 #[test]
-fn status_touches_only_the_upstreams_that_it_names_or_named_before() {
+fn status_updates_only_upstreams_in_it_or_in_the_previous_one() {
     for boxes in [1000, 2000] {
         let mut loads = Loads::default();
         let now = Moment::ZERO;
--- a/crates/jb-relay/tests/mirror.rs
+++ b/crates/jb-relay/tests/mirror.rs
@@ -1,4 +1,4 @@
-//! What a box keeps of the store to hand it on.
+//! The copy of the store's content that a box keeps for other boxes.
 
 #![allow(clippy::expect_used)]
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn bytes_follow_what_it_holds() {
+fn byte_count_follows_the_stored_items() {
     let mut mirror = Mirror::default();
     mirror.apply(&change("a", 1, Some("four")));
     mirror.apply(&change("b", 2, Some("seven..")));
--- a/crates/jb-relay/tests/reachability.rs
+++ b/crates/jb-relay/tests/reachability.rs
@@ -1,4 +1,4 @@
-//! For how much of a large fleet a box may speak.
+//! Number of boxes that a box assumes to be reachable.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
     Duration::from_millis(millis)
 }
 
-/// Boxes that had just started took themselves to be alone in their hall, and customers' accounts
-/// that they kept for it let in next to nothing.
+/// Guards against boxes that assume after their start that they are alone in their hall: the customer accounts that
+/// they owned then admitted almost nothing.
 #[test]
-fn all_listed_boxes_are_taken_to_be_there_while_nothing_was_told() {
+fn all_listed_boxes_count_as_reachable_after_start() {
     let reachability = Reachability::default();
     assert_eq!(reachability.fleet_size(LISTED, ms(100)), LISTED);
     assert_eq!(reachability.fleet_size(LISTED, ms(3999)), LISTED);
@@ -22,22 +22,22 @@
 }
 
 #[test]
-fn count_of_the_relay_node_holds_until_it_is_old_and_then_the_box_is_alone() {
+fn count_of_the_relay_node_is_used_until_it_expires() {
     let mut reachability = Reachability::default();
     let most = FleetSize { hall: 25, all: 68 };
     reachability.record(most, ms(300));
     assert_eq!(reachability.fleet_size(LISTED, ms(1799)), most);
-    // Also right after the start: it had heard its relay node.
+    // Also within the time after the start, because the relay node had sent a count.
     assert_eq!(reachability.fleet_size(LISTED, ms(1800)), ALONE);
 }
 
-/// A relay node that had just started counted the few boxes that had told it something by then, and the
-/// limits of all customers were cut to their share.
+/// Guards against counts from a relay node that has just started and has received messages of only a few boxes: all
+/// customers' limits were reduced to the share of these.
 #[test]
-fn relay_node_sends_no_counts_until_boxes_have_had_the_time_to_tell_it() {
+fn relay_node_sends_no_counts_until_boxes_have_had_time_to_report() {
     let mut reachability = Reachability::default();
     let due = (0..40)
-        .map(|telling| ms(200 * telling))
+        .map(|report| ms(200 * report))
         .find(|at| reachability.is_due(*at));
     assert!(
         due.is_some_and(|at| (ms(2000)..ms(2600)).contains(&at)),
--- a/crates/jb-relay/tests/book.rs
+++ b/crates/jb-relay/tests/relay_roles.rs
@@ -1,7 +1,7 @@
-//! Roles of the boxes of a data hall: who reads the store, and who hands it on to whom.
+//! Roles of the boxes of a data hall: which box reads the store, and which boxes relay its content to which.
 //!
-//! Seen: any of 164 boxes became the relay node of its hall, mostly one with a tenth of a core, and every box read
-//! all that the store holds at its start.
+//! Guards against two failures seen with 164 boxes: any box could become the relay node, usually one with a tenth of a
+//! core, and every box read the whole store when it started.
 
 #![allow(clippy::expect_used)]
 
@@ -12,8 +12,8 @@
 use jb_relay::peers::{Directory, Peer};
 
 const HALL: &str = "hall-a";
-/// Boxes in ten that have a wide link.
-const WIDE_IN_TEN: u16 = 1;
+/// Number of boxes in ten that have a high-bandwidth link.
+const FAST_IN_TEN: u16 = 1;
 
 fn peer(number: u16) -> (String, Peer) {
     let id = format!("box-{number}");
@@ -21,7 +21,7 @@
         address: SocketAddr::from(([10, 0, 0, 1], number)),
         hall: HALL.to_owned(),
         name: rendezvous::name_hash(&id),
-        link_mbps: if number % 10 < WIDE_IN_TEN { 200 } else { 20 },
+        link_mbps: if number % 10 < FAST_IN_TEN { 200 } else { 20 },
     };
     (id, peer)
 }
@@ -34,10 +34,10 @@
 }
 
 #[test]
-fn box_with_a_wide_link_is_the_relay_node() {
+fn box_with_a_high_bandwidth_link_is_the_relay_node() {
     for boxes in [10, 100, 1000, 2000] {
         let (mut book, peers) = book(boxes);
-        // A wide link among boxes that have gone is passed over, as long as there is another one.
+        // Unreachable boxes are skipped while another box with a high-bandwidth link remains.
         for _ in 0..(boxes / 10) {
             let relay_node = book.relay_node(HALL, Moment::ZERO).expect("a relay node").clone();
             assert_eq!(peers[&relay_node].link_mbps, 200);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn each_box_hands_the_store_on_to_a_few_others_in_few_steps() {
+fn distribution_tree_has_bounded_depth_and_fan_out() {
     for (boxes, most_steps) in [(9, 1), (100, 3), (1000, 4), (2000, 4)] {
         let (book, peers) = book(boxes);
         let mut children: BTreeMap<SocketAddr, usize> = BTreeMap::new();
@@ -65,22 +65,22 @@
     }
 }
 
-/// The boxes that serve others are those with the widest links, as far as there are enough of them.
+/// Boxes that serve others are those with the highest bandwidth, as far as there are enough of them.
 #[test]
-fn boxes_with_wide_links_hand_the_store_on() {
+fn boxes_with_high_bandwidth_links_relay_the_store() {
     let (book, peers) = book(1000);
-    let narrow = |address: &SocketAddr| peers.values().any(|p| p.address == *address && p.link_mbps == 20);
+    let is_slow = |address: &SocketAddr| peers.values().any(|p| p.address == *address && p.link_mbps == 20);
     let parents = peers
         .keys()
         .filter_map(|id| book.ancestors(id, HALL).first().copied());
-    let by_narrow = parents.filter(narrow).count();
-    // The 100 wide ones have 800 children.
-    assert_eq!(by_narrow, 1000 - 1 - 800);
+    let by_slow = parents.filter(is_slow).count();
+    // The 100 boxes with fast links have 800 children.
+    assert_eq!(by_slow, 1000 - 1 - 800);
 }
 
-/// A box of another hall that had gone for good received the sums that its successor should have.
+/// Guards against load totals sent to a former relay node of another hall instead of to its successor.
 #[test]
-fn box_that_acts_as_relay_node_of_another_hall_is_taken_for_it_while_it_is_heard() {
+fn acting_relay_node_of_another_hall_is_used_while_its_messages_arrive() {
     let (book, mut peers) = book(10);
     let preferred = book.relay_node(HALL, Moment::ZERO).expect("a relay node").clone();
     let (own, mut peer) = peer(11);
--- a/crates/jb-relay/tests/round_trip.rs
+++ b/crates/jb-relay/tests/round_trip.rs
@@ -1,48 +1,50 @@
-//! Time that boxes wait for each other's answers.
+//! Time-outs for requests between boxes.
 //!
-//! Failure: with 40 ms there and back between two regions each question to the owner of an engine's account was given
-//! up after 25 ms. Owners counted as silent, accounts moved from box to box, and shared prompts were read again.
+//! Guards against time-outs below the round-trip time: with 40 ms between two regions, each request to the owner of an
+//! engine's account timed out after 25 ms. Owners counted as unresponsive, accounts moved from box to box, and shared
+//! prompts were prefilled again.
 
 use std::time::Duration;
 
 use jb_relay::peers::RoundTrips;
 
-const ANSWER: Duration = Duration::from_millis(25);
+const RESPONSE_TIME: Duration = Duration::from_millis(25);
 
-fn settle(way: Duration) -> Duration {
+/// Returns the time-out after many round trips of the same length.
+fn settled_timeout(round_trip: Duration) -> Duration {
     let round_trips = RoundTrips::default();
     for _ in 0..50 {
-        round_trips.record("far", way);
+        round_trips.record("far", round_trip);
     }
-    round_trips.timeout("far", ANSWER)
+    round_trips.timeout("far", RESPONSE_TIME)
 }
 
 #[test]
-fn answer_from_another_region_is_waited_for() {
-    assert!(settle(Duration::from_millis(40)) > Duration::from_millis(40 + 20));
+fn timeout_exceeds_the_round_trip_to_another_region() {
+    assert!(settled_timeout(Duration::from_millis(40)) > Duration::from_millis(40 + 20));
 }
 
 #[test]
-fn first_question_to_another_region_is_waited_for() {
-    assert!(RoundTrips::default().timeout("far", ANSWER) > Duration::from_millis(60));
+fn first_timeout_covers_a_round_trip_to_another_region() {
+    assert!(RoundTrips::default().timeout("far", RESPONSE_TIME) > Duration::from_millis(60));
 }
 
 #[test]
-fn silent_box_of_a_near_hall_is_given_up_about_as_soon_as_before() {
-    assert!(settle(Duration::from_millis(1)) < Duration::from_millis(27));
+fn timeout_for_a_nearby_box_stays_short() {
+    assert!(settled_timeout(Duration::from_millis(1)) < Duration::from_millis(27));
 }
 
 #[test]
-fn box_that_always_answers_late_is_not_waited_for_without_end() {
-    assert!(settle(Duration::from_secs(5)) <= ANSWER + Duration::from_millis(150));
+fn timeout_for_a_slow_box_is_bounded() {
+    assert!(settled_timeout(Duration::from_secs(5)) <= RESPONSE_TIME + Duration::from_millis(150));
 }
 
 #[test]
-fn estimate_follows_a_way_that_gets_shorter() {
+fn timeout_follows_a_round_trip_that_gets_shorter() {
     let round_trips = RoundTrips::default();
     round_trips.record("far", Duration::from_millis(120));
     for _ in 0..40 {
         round_trips.record("far", Duration::from_millis(2));
     }
-    assert!(round_trips.timeout("far", ANSWER) < Duration::from_millis(30));
+    assert!(round_trips.timeout("far", RESPONSE_TIME) < Duration::from_millis(30));
 }
--- a/crates/jb-relay/tests/rules.rs
+++ b/crates/jb-relay/tests/rules.rs
@@ -1,4 +1,4 @@
-//! What a route of the configuration says of a request.
+//! Time-outs that result from the settings of a route.
 
 use std::time::Duration;
 
@@ -22,15 +22,15 @@
 }
 
 #[test]
-fn silence_that_counts_follows_the_times_of_the_route() {
+fn timeouts_follow_the_settings_of_the_route() {
     let route = route(Duration::from_millis(400), Duration::from_millis(500));
     assert_eq!(route.response_stall_timeout(), Duration::from_millis(600));
     assert_eq!(route.stream_stall_timeout(), Duration::from_millis(1000));
 }
 
-/// A box that waits for no time at all would look again without end.
+/// Guards against a busy loop: a box with a time-out of zero would poll without a pause.
 #[test]
-fn route_without_times_still_waits_a_little() {
+fn timeouts_of_a_route_without_settings_are_not_zero() {
     let route = route(Duration::ZERO, Duration::ZERO);
     assert!(route.response_stall_timeout() > Duration::ZERO);
     assert!(route.stream_stall_timeout() > Duration::ZERO);
