--- a/crates/jb-relay/src/leader/load.rs
+++ b/crates/jb-relay/src/leader/load.rs
@@ -50,7 +50,7 @@
 /// Engines to load, in order.
 struct Queue {
     /// Number of engines to start with now.
-    room: usize,
+    start_count: usize,
     engines: Vec<Instance>,
 }
 
@@ -104,14 +104,14 @@
         }
         let weights = self.core.weights.borrow().clone();
         for (model, history) in weights {
-            let Queue { room, engines } = self.queue(&model, history.newest());
-            let next = &engines[..room.min(engines.len())];
+            let Queue { start_count, engines } = self.queue(&model, history.newest());
+            let next = &engines[..start_count.min(engines.len())];
             if next.is_empty() || !self.announce(next, &engines).await {
                 continue;
             }
             for instance in next.iter().cloned() {
                 self.loading.borrow_mut().insert(instance.clone());
-                tokio::task::spawn_local(Rc::clone(self).load_in_time(instance, model.clone()));
+                tokio::task::spawn_local(Rc::clone(self).load_with_timeout(instance, model.clone()));
             }
         }
     }
@@ -129,7 +129,7 @@
         upstream.is_backing_off(now) && overdue == Some(Overdue::No)
     }
 
-    async fn load_in_time(self: Rc<Self>, instance: Instance, model: String) {
+    async fn load_with_timeout(self: Rc<Self>, instance: Instance, model: String) {
         if tokio::time::timeout(LOAD_TIMEOUT, self.load(&instance, &model))
             .await
             .is_err()
@@ -146,19 +146,20 @@
         let loading = self.loading.borrow();
         let now = self.core.now();
         let with_model = upstreams.iter().filter(|(_, u)| u.weights(model).is_some());
-        let (mut all, mut behind) = (0, Vec::new());
+        let (mut all, mut outdated) = (0, Vec::new());
         for (_, upstream) in with_model {
             all += 1;
             let instance = &upstream.instance;
-            let old = upstream.weights(model).is_some_and(|has| has < version) && !upstream.replaced;
+            let is_outdated = upstream.weights(model).is_some_and(|has| has < version) && !upstream.replaced;
             let is_barred = self.record.borrow().is_barred(&instance.id, now)
                 || self.unresponsive.borrow().is_paused(instance, now);
-            let free = !is_barred && !self.defers_to_backoff(upstream, model) && !loading.contains(instance);
-            if old && free && upstream.is_in_rotation() && upstream.expired.is_none() {
+            let is_free =
+                !is_barred && !self.defers_to_backoff(upstream, model) && !loading.contains(instance);
+            if is_outdated && is_free && upstream.is_in_rotation() && upstream.expired.is_none() {
                 let is_ejected = !upstream.health.is_available(now);
                 let running = upstream.running + upstream.peer_load.running;
                 let unrecorded = !self.record.borrow().covers(std::slice::from_ref(instance));
-                behind.push((
+                outdated.push((
                     is_ejected,
                     upstream.weights(model),
                     unrecorded,
@@ -167,19 +168,20 @@
                 ));
             }
         }
-        let most = ((f64::from(all) * LOADING_SHARE) as usize).max(MIN_LOADING);
-        behind.sort();
-        if most > self.granted_slots.get() {
-            self.load_slots.add_permits(most - self.granted_slots.get());
-            self.granted_slots.set(most);
+        let max_loading = ((f64::from(all) * LOADING_SHARE) as usize).max(MIN_LOADING);
+        outdated.sort();
+        if max_loading > self.granted_slots.get() {
+            self.load_slots
+                .add_permits(max_loading - self.granted_slots.get());
+            self.granted_slots.set(max_loading);
         }
-        let quiescing = ((most as f64 * QUIESCING_SHARE) as usize).max(MIN_QUIESCING);
-        let room = (most + quiescing).saturating_sub(loading.len());
+        let quiescing = ((max_loading as f64 * QUIESCING_SHARE) as usize).max(MIN_QUIESCING);
+        let start_count = (max_loading + quiescing).saturating_sub(loading.len());
         // The next leader can't order the recorded engines for a while, so only a few are recorded in advance.
-        let recorded = room + ANNOUNCED_AHEAD * (most - MIN_LOADING);
+        let recorded = start_count + ANNOUNCED_AHEAD * (max_loading - MIN_LOADING);
         Queue {
-            room,
-            engines: behind
+            start_count,
+            engines: outdated
                 .into_iter()
                 .take(recorded)
                 .map(|(.., instance)| instance)
