--- a/crates/jb-relay/src/exchange/selection.rs
+++ b/crates/jb-relay/src/exchange/selection.rs
@@ -203,7 +203,7 @@
         weights: model
             .and_then(|model| core.weights.borrow().get(model).cloned())
             .unwrap_or_default(),
-        weights_time: core.settings.bounds.old_weights_grace.mul_f64(OLD_WEIGHTS_SHARE),
+        old_weights_grace: core.settings.bounds.old_weights_grace.mul_f64(OLD_WEIGHTS_SHARE),
         own_hall: &core.settings.hall,
         demand: demand(request, body),
         excluded: tried,
--- a/crates/jb-relay/src/follow/facts.rs
+++ b/crates/jb-relay/src/follow/facts.rs
@@ -58,9 +58,9 @@
 }
 
 /// Applies one decoded item of the store.
-pub(super) fn apply(core: &Core, fact: DecodedItem, revision: Revision, summary: &mut UpdateSummary) {
-    match fact {
-        DecodedItem::Configuration(configuration) => apply_rules(core, *configuration),
+pub(super) fn apply(core: &Core, item: DecodedItem, revision: Revision, summary: &mut UpdateSummary) {
+    match item {
+        DecodedItem::Configuration(configuration) => apply_configuration(core, *configuration),
         DecodedItem::Upstream(id, registration) => {
             apply_registration(core, &id, registration, revision, summary)
         }
@@ -73,14 +73,14 @@
                 emit!(core.logger, info, event::WEIGHTS_RELEASED, "model" => named.model, "version" => named.version);
             }
         }
-        DecodedItem::BoxItem(item) => apply_own_item(core, item),
+        DecodedItem::BoxItem(item) => apply_box_item(core, item),
         DecodedItem::Unreadable { key, why } => {
             emit!(core.logger, error, event::STORE_UNREADABLE, "key" => key, "why" => why);
         }
     }
 }
 
-fn apply_rules(core: &Core, configuration: Configuration) {
+fn apply_configuration(core: &Core, configuration: Configuration) {
     let known = core
         .configuration()
         .map_or(0, |configuration| configuration.version);
@@ -166,7 +166,7 @@
     }
 }
 
-fn apply_own_item(core: &Core, item: Change) {
+fn apply_box_item(core: &Core, item: Change) {
     let mut own = core.box_items.borrow_mut();
     let known = own.get(&item.key);
     let newer = known.is_none_or(|known| known.revision < item.revision);
--- a/crates/jb-relay/src/follow/run.rs
+++ b/crates/jb-relay/src/follow/run.rs
@@ -135,7 +135,7 @@
     }
 }
 
-/// Returns the level of this box in the distribution tree of its data hall.
+/// Returns the level of this box in the dissemination tree of its data hall.
 fn level(core: &Core) -> Level {
     let (own, hall) = (&core.settings.id, &core.settings.hall);
     core.book.borrow().level(own, hall)
--- a/crates/jb-relay/src/follow/start_up.rs
+++ b/crates/jb-relay/src/follow/start_up.rs
@@ -83,7 +83,7 @@
     timeout(CATCH_UP_TIMEOUT, fetched).await.ok().flatten()
 }
 
-/// Fetches the content of the store, or the changes after a revision, from the nearest ancestor in the distribution
+/// Fetches the content of the store, or the changes after a revision, from the nearest ancestor in the dissemination
 /// tree that has it. `None` if this box is the root of its data hall, or if no box has sent it in time.
 async fn fetch(core: &Core, after: Option<Revision>, until: Moment) -> Option<Update> {
     let (own, hall) = (&core.settings.id, &core.settings.hall);
--- a/crates/jb-relay/src/leader/election.rs
+++ b/crates/jb-relay/src/leader/election.rs
@@ -70,7 +70,7 @@
         let now = core.now();
         // The previous leader gives no orders within the margin at the end of its lease. That lease has expired,
         // unless the store was restored: the previous leader may then have renewed it right before.
-        let pause = self.order_gap().saturating_sub(LEASE_MARGIN);
+        let pause = self.min_order_interval().saturating_sub(LEASE_MARGIN);
         let (wait, waits_for) = match &before {
             PriorOrders::Known(orders) => (pause, Some(orders.len())),
             PriorOrders::Unknown => (pause + LEASE_TTL, None),
--- a/crates/jb-relay/src/leader/record.rs
+++ b/crates/jb-relay/src/leader/record.rs
@@ -1,8 +1,8 @@
 //! Record of the leader's orders in the store, for the next leader.
 //!
-//! Orders of two boxes to the same engine must be separated by a gap. An order may be executed late and its
-//! response lost, so the leader records the engines that it is about to order before the first order. Its
-//! successor observes the gap for these engines only.
+//! Orders of two boxes to the same engine must be separated by a minimum interval. An order may be executed late and
+//! its response lost, so the leader records the engines that it is about to order before the first order. Its
+//! successor observes the interval for these engines only.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -77,7 +77,7 @@
         .map_or(PriorOrders::Unknown, PriorOrders::Known)
 }
 
-/// Orders of one term, and earlier orders whose gap has not passed.
+/// Orders of one term, and earlier orders whose minimum interval has not passed.
 #[derive(Debug)]
 pub(super) struct OrderRecord {
     own: id::Box,
@@ -92,7 +92,8 @@
 }
 
 impl OrderRecord {
-    /// Creates the record at the start of a term. The gap after orders of earlier terms ends at `barred_until`.
+    /// Creates the record at the start of a term. The minimum interval after orders of earlier terms ends at
+    /// `barred_until`.
     pub(super) fn new(own: id::Box, before: PriorOrders, barred_until: Moment) -> Self {
         Self {
             own,
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Returns whether the gap after another box's order to an engine has not passed.
+    /// Returns whether the minimum interval after another box's order to an engine has not passed.
     pub(super) fn is_barred(&self, id: &str, now: Moment) -> bool {
         let by_other = match &self.before {
             PriorOrders::Known(orders) => orders.get(id).is_some_and(|by| *by != self.own),
@@ -123,14 +124,14 @@
     }
 
     /// Returns the orders to write: `next` under this box, and all engines whose last order is more recent than
-    /// `gap`.
-    pub(super) fn pending(&self, next: &BTreeSet<Id>, now: Moment, gap: Duration) -> PriorOrders {
+    /// `interval`.
+    pub(super) fn pending(&self, next: &BTreeSet<Id>, now: Moment, interval: Duration) -> PriorOrders {
         let mut pending = match &self.before {
             _ if now >= self.barred_until => Orders::new(),
             PriorOrders::Known(orders) => orders.clone(),
             PriorOrders::Unknown => return PriorOrders::Unknown,
         };
-        let given = self.given.iter().filter(|(_, at)| now < **at + gap);
+        let given = self.given.iter().filter(|(_, at)| now < **at + interval);
         let own = given.map(|(id, _)| id).chain(next);
         pending.extend(own.map(|id| (id.clone(), self.own.clone())));
         PriorOrders::Known(pending)
@@ -152,8 +153,8 @@
         self.given.insert(id.clone(), now);
     }
 
-    /// Returns whether all orders are older than `gap`.
-    pub(super) fn has_no_pending(&self, now: Moment, gap: Duration) -> bool {
-        self.pending(&BTreeSet::new(), now, gap) == PriorOrders::Known(Orders::new())
+    /// Returns whether all orders are older than `interval`.
+    pub(super) fn has_no_pending(&self, now: Moment, interval: Duration) -> bool {
+        self.pending(&BTreeSet::new(), now, interval) == PriorOrders::Known(Orders::new())
     }
 }
--- a/crates/jb-relay/src/leader/term.rs
+++ b/crates/jb-relay/src/leader/term.rs
@@ -27,8 +27,8 @@
 pub(super) const LEASE_MARGIN: Duration = Duration::from_millis(600);
 /// Interval at which the leader checks its term and the engines.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(150);
-/// Added to the gap between orders of two boxes, for drift between their monotonic clocks.
-const GAP_SLACK: Duration = Duration::from_millis(200);
+/// Added to the minimum interval between orders of two boxes, for drift between their monotonic clocks.
+const INTERVAL_SLACK: Duration = Duration::from_millis(200);
 
 /// A term of this box as the leader.
 #[derive(Clone, Copy, Debug)]
@@ -122,8 +122,11 @@
             self.renew(term, now).await;
             self.settle(term).await;
         }
-        let is_idle =
-            self.loading.borrow().is_empty() && self.record.borrow().has_no_pending(now, self.order_gap());
+        let is_idle = self.loading.borrow().is_empty()
+            && self
+                .record
+                .borrow()
+                .has_no_pending(now, self.min_order_interval());
         if is_idle && term.is_announced {
             self.write_record(None).await;
         }
@@ -157,7 +160,7 @@
         let orders = self
             .record
             .borrow()
-            .pending(&engines, self.core.now(), self.order_gap());
+            .pending(&engines, self.core.now(), self.min_order_interval());
         self.write_record(Some(orders)).await
     }
 
@@ -217,9 +220,9 @@
         mine.map(|item| item.revision)
     }
 
-    /// Returns the minimum gap between orders of two boxes to the same engine.
-    pub(super) fn order_gap(&self) -> Duration {
-        self.core.settings.bounds.min_order_interval + GAP_SLACK
+    /// Returns the minimum interval between orders of two boxes to the same engine.
+    pub(super) fn min_order_interval(&self) -> Duration {
+        self.core.settings.bounds.min_order_interval + INTERVAL_SLACK
     }
 
     fn end_term(&self, why: &str) {
--- a/crates/jb-relay/src/upstream/criteria.rs
+++ b/crates/jb-relay/src/upstream/criteria.rs
@@ -19,7 +19,7 @@
     /// Released versions of the model's weights.
     pub weights: History,
     /// Time after a release for which engines with older weights still receive requests.
-    pub weights_time: Duration,
+    pub old_weights_grace: Duration,
     /// Data hall of this box.
     pub own_hall: &'a str,
     /// Prompt and size of the request.
--- a/crates/jb-relay/src/upstream/selection.rs
+++ b/crates/jb-relay/src/upstream/selection.rs
@@ -178,7 +178,7 @@
         let Some(has) = upstream.weights(model) else {
             return true;
         };
-        match criteria.weights.overdue(has, now, criteria.weights_time) {
+        match criteria.weights.overdue(has, now, criteria.old_weights_grace) {
             Overdue::No => true,
             Overdue::Yes => false,
             Overdue::Unknown => !self.has_weights(model, criteria.weights.newest()),
--- a/crates/jb-relay/tests/relay_roles.rs
+++ b/crates/jb-relay/tests/relay_roles.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn distribution_tree_has_bounded_depth_and_fan_out() {
+fn dissemination_tree_has_bounded_depth_and_fan_out() {
     for (boxes, most_steps) in [(9, 1), (100, 3), (1000, 4), (2000, 4)] {
         let (book, peers) = book(boxes);
         let mut children: BTreeMap<SocketAddr, usize> = BTreeMap::new();
