--- a/crates/jb-soak/src/callers.rs
+++ b/crates/jb-soak/src/callers.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use jb_site_fakes::caller::{Caller, Got, request};
+use jb_site_fakes::caller::{Caller, Response, request};
 use jb_site_fakes::document::{ID, MODEL_HEADERS};
 use rand::Rng as _;
 use rand::SeedableRng as _;
@@ -62,13 +62,13 @@
     }
 
     /// Notes what came of it.
-    pub fn end(self, got: Option<&Got>) -> Asked {
+    pub fn end(self, got: Option<&Response>) -> Asked {
         Asked {
             asking: self,
             ended: Instant::now(),
             leaving: got.and_then(signals::draining_engine),
             limited: got.and_then(limits::limited_engine),
-            status: got.map(Got::status),
+            status: got.map(Response::status),
         }
     }
 }
@@ -120,7 +120,7 @@
 }
 
 /// Asks once, on a connection of its own; `None` without an answer in time.
-pub async fn ask_once(address: SocketAddr, request: &str, patience: Duration) -> Option<Got> {
+pub async fn ask_once(address: SocketAddr, request: &str, patience: Duration) -> Option<Response> {
     let asked = async {
         let stream = tokio::net::TcpStream::connect(address).await.ok()?;
         let mut caller = Caller(jb_relay::http::Connection::new(stream));
@@ -130,7 +130,7 @@
 }
 
 /// Checks what can be seen at once.
-fn judge(world: &World, id: &str, path: &str, got: Option<&Got>) {
+fn judge(world: &World, id: &str, path: &str, got: Option<&Response>) {
     let Some(got) = got else { return };
     let mut checks = world.checks.borrow_mut();
     let own = got.answer.headers.text(ID);
--- a/crates/jb-soak/src/faults.rs
+++ b/crates/jb-soak/src/faults.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use jb_site_fakes::engine::Act;
-use jb_site_fakes::store::Mood;
+use jb_site_fakes::engine::Action;
+use jb_site_fakes::store::Behavior;
 use rand::Rng as _;
 use rand_chacha::ChaCha8Rng;
 use rustix::process::Signal;
@@ -23,7 +23,7 @@
     Pause,
     Reload,
     Link(Link),
-    Store(Mood),
+    Store(Behavior),
     Compact,
     Leases,
     Engine,
@@ -98,7 +98,7 @@
         3 => Fault::Pause,
         4 => Fault::Link(Link::Silent),
         5 => Fault::Link(Link::Reset),
-        6 => Fault::Store(Mood::Status(503)),
+        6 => Fault::Store(Behavior::Status(503)),
         7 => Fault::Compact,
         8 => Fault::Engine,
         9 => Fault::Leave,
@@ -128,8 +128,8 @@
         6 => Fault::Link(Link::OneWay),
         7 => Fault::Link(Link::Reset),
         8 => Fault::Link(Link::Slow(Duration::from_millis(150))),
-        9 => Fault::Store(Mood::Reset),
-        10 => Fault::Store(Mood::Status(503)),
+        9 => Fault::Store(Behavior::Reset),
+        10 => Fault::Store(Behavior::Status(503)),
         11 => Fault::Compact,
         12 => Fault::Leases,
         13 | 14 => Fault::Engine,
@@ -176,9 +176,9 @@
             target.link(Link::Well);
         }
         Fault::Store(mood) => {
-            world.store.mood.set(mood);
+            world.store.behavior.set(mood);
             sleep(lasts).await;
-            world.store.mood.set(Mood::Well);
+            world.store.behavior.set(Behavior::Healthy);
         }
         Fault::Vanish => {
             target.link(Link::Silent);
@@ -233,20 +233,22 @@
 fn spoil(world: &World, engine: usize, random: &mut ChaCha8Rng) {
     for _ in 0..random.random_range(3..20) {
         let act = match random.random_range(0..9) {
-            0 => Act::Unsigned,
-            1 => Act::Fail(500),
-            2 => Act::Refuse,
-            3 => Act::Extra,
-            4 => Act::Garbage,
-            5 => Act::Lose,
-            6 => Act::CutBody,
-            7 => Act::Silent,
-            _ => Act::Stream {
+            0 => Action::Unsigned,
+            1 => Action::Fail(500),
+            2 => Action::Refuse,
+            3 => Action::Extra,
+            4 => Action::Garbage,
+            5 => Action::Lose,
+            6 => Action::CutBody,
+            7 => Action::Silent,
+            _ => Action::Stream {
                 events: EVENTS,
                 cut: Some(random.random_range(1..=EVENTS)),
             },
         };
-        world.engines[engine].acts.borrow_mut().push_back(act);
+        world.engines[engine].actions.borrow_mut().push_back(act);
     }
-    world.engines[engine].deaf.set(random.random_range(0..2));
+    world.engines[engine]
+        .orders_to_drop
+        .set(random.random_range(0..2));
 }
--- a/crates/jb-soak/src/limits.rs
+++ b/crates/jb-soak/src/limits.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use jb_site_fakes::caller::Got;
+use jb_site_fakes::caller::Response;
 use jb_site_fakes::engine::Engine;
 use rand::Rng as _;
 use rand_chacha::ChaCha8Rng;
@@ -42,7 +42,7 @@
 }
 
 /// Engine that announces a limit in a response.
-pub fn limited_engine(got: &Got) -> Option<String> {
+pub fn limited_engine(got: &Response) -> Option<String> {
     got.answer.headers.get("server-limit")?;
     signals::engine_of(got)
 }
--- a/crates/jb-soak/src/poison.rs
+++ b/crates/jb-soak/src/poison.rs
@@ -77,10 +77,10 @@
     while !world.stopped.get() {
         sleep(LOOK).await;
         for (number, engine) in world.engines.iter().enumerate() {
-            let last = engine.deaths.borrow().last().copied();
+            let last = engine.crash_times.borrow().last().copied();
             let due = last.is_some_and(|at| at.elapsed() > DOWN);
             if engine.has_ended() && due {
-                engine.revive().await;
+                engine.relaunch().await;
                 world.write_entry(number);
             }
         }
@@ -91,7 +91,7 @@
 pub fn check(world: &World, checks: &mut Checks) {
     let mut deaths: Vec<Instant> = Vec::new();
     for engine in &world.engines {
-        deaths.extend(engine.deaths.borrow().iter());
+        deaths.extend(engine.crash_times.borrow().iter());
     }
     deaths.sort_unstable();
     world.log(&format!("{} engines ended under one request", deaths.len()));
--- a/crates/jb-soak/src/restores.rs
+++ b/crates/jb-soak/src/restores.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use jb_site_fakes::store::Mood;
+use jb_site_fakes::store::Behavior;
 use rand::Rng as _;
 use rand_chacha::ChaCha8Rng;
 use tokio::time::sleep;
@@ -41,10 +41,10 @@
         leader.link(Link::Silent);
     }
     world.log(&format!("store away for {away:?}, then a copy {age:?} old"));
-    world.store.mood.set(Mood::Reset);
+    world.store.behavior.set(Behavior::Reset);
     sleep(away).await;
     world.store.restore(&copy);
-    world.store.mood.set(Mood::Well);
+    world.store.behavior.set(Behavior::Healthy);
     sleep(rewrite).await;
     world.log("everything is written again");
     world.write_again();
--- a/crates/jb-soak/src/run.rs
+++ b/crates/jb-soak/src/run.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use jb_site_fakes::store::Mood;
+use jb_site_fakes::store::Behavior;
 use rand::Rng as _;
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
@@ -95,7 +95,7 @@
     for fault in faults {
         fault.await.expect("a fault");
     }
-    world.store.mood.set(Mood::Well);
+    world.store.behavior.set(Behavior::Healthy);
     world.boxes.iter().for_each(|one| one.link(Link::Well));
     let recovered = recover(&world).await;
     world.stopped.set(true);
--- a/crates/jb-soak/src/signals.rs
+++ b/crates/jb-soak/src/signals.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use jb_site_fakes::caller::Got;
+use jb_site_fakes::caller::Response;
 use tokio::time::sleep;
 
 use crate::callers::Asked;
@@ -16,13 +16,13 @@
 const DRAIN: Duration = Duration::from_secs(2);
 
 /// Engine whose answer says that it leaves.
-pub fn draining_engine(got: &Got) -> Option<String> {
+pub fn draining_engine(got: &Response) -> Option<String> {
     got.answer.headers.get("server-leaving")?;
     engine_of(got)
 }
 
 /// Engine that has made an answer.
-pub fn engine_of(got: &Got) -> Option<String> {
+pub fn engine_of(got: &Response) -> Option<String> {
     let first = got.body.lines().find(|line| !line.starts_with("id: "))?;
     first.split(' ').next_back().map(str::to_owned)
 }
@@ -30,11 +30,13 @@
 /// Lets an engine turn all requests away for a while and ask for rest until its end.
 pub async fn shed(world: &World, engine: usize, lasts: Duration) {
     let engine = &world.engines[engine];
-    let (before, starts) = (engine.turned_away.get(), world.starts());
-    engine.rest.replace(Some(format!("{:.2}", lasts.as_secs_f64())));
+    let (before, starts) = (engine.rejected.get(), world.starts());
+    engine
+        .retry_after
+        .replace(Some(format!("{:.2}", lasts.as_secs_f64())));
     sleep(lasts).await;
-    engine.rest.replace(None);
-    let turned_away = engine.turned_away.get() - before;
+    engine.retry_after.replace(None);
+    let turned_away = engine.rejected.get() - before;
     // Each box, and each that was started meanwhile, hears it once; what its callers have under way
     // then may still come.
     let most = world.boxes.len() + (world.starts() - starts) as usize + world.callers;
--- a/crates/jb-soak/src/world.rs
+++ b/crates/jb-soak/src/world.rs
@@ -99,7 +99,7 @@
                 engine.restart();
             }
             if plan.set == Set::Poison {
-                engine.deadly.replace(Some(poison::DEADLY.to_owned()));
+                engine.crash_body.replace(Some(poison::DEADLY.to_owned()));
             }
             store.put_engine(&engine, false);
             engines.push(engine);
