--- a/crates/jb-daemon/src/claims.rs
+++ b/crates/jb-daemon/src/claims.rs
@@ -8,7 +8,7 @@
 
 use jb_platform::port::Swap;
 use jb_platform::{Error, Platform};
-use jb_policy::idempotency::{self, Decision, Plan, Reservation, Shard};
+use jb_policy::idempotency::{self, Claim, Decision, Plan, Shard};
 use jb_protocol::event;
 use slog::Logger;
 use tokio::sync::{mpsc, oneshot};
@@ -30,7 +30,7 @@
 pub struct Unavailable;
 
 struct Pending {
-    reservation: Reservation,
+    claim: Claim,
     reply: oneshot::Sender<Result<Decision, Unavailable>>,
 }
 
@@ -56,10 +56,10 @@
     ///
     /// # Errors
     /// [`Unavailable`] if the queue is full or the claim could not be written.
-    pub async fn claim(&self, reservation: Reservation) -> Result<Decision, Unavailable> {
+    pub async fn claim(&self, claim: Claim) -> Result<Decision, Unavailable> {
         let (reply, answer) = oneshot::channel();
         self.sender
-            .try_send(Pending { reservation, reply })
+            .try_send(Pending { claim, reply })
             .map_err(|_| Unavailable)?;
         answer.await.map_err(|_| Unavailable)?
     }
@@ -72,7 +72,7 @@
         let mut shards: BTreeMap<u32, Vec<Pending>> = BTreeMap::new();
         for pending in batch.drain(..) {
             shards
-                .entry(idempotency::shard_of(pending.reservation.key))
+                .entry(idempotency::shard_of(pending.claim.key))
                 .or_default()
                 .push(pending);
         }
@@ -84,8 +84,8 @@
 }
 
 async fn commit_shard(shard: u32, pending: Vec<Pending>, platform: &dyn Platform, logger: &Logger) {
-    let reservations: Vec<Reservation> = pending.iter().map(|p| p.reservation).collect();
-    let result = write_with_retries(shard, &reservations, platform).await;
+    let claims: Vec<Claim> = pending.iter().map(|p| p.claim).collect();
+    let result = write_with_retries(shard, &claims, platform).await;
     if let Err(error) = &result {
         emit!(logger, warn, event::CLAIM_FAILED, "shard" => shard, "why" => error.to_string());
     }
@@ -108,13 +108,13 @@
 /// attempts are exhausted.
 async fn write_with_retries(
     shard: u32,
-    reservations: &[Reservation],
+    claims: &[Claim],
     platform: &dyn Platform,
 ) -> Result<Vec<Decision>, Error> {
     let key = idempotency::document_name(shard);
     let mut last_error = Error::Unknown("no write was attempted".to_owned());
     for _ in 0..MAX_ATTEMPTS {
-        match write_once(&key, reservations, platform).await {
+        match write_once(&key, claims, platform).await {
             Ok(Some(decisions)) => return Ok(decisions),
             Ok(None) => last_error = Error::Unknown("every write conflicted with another writer".to_owned()),
             Err(error) => last_error = error,
@@ -126,14 +126,14 @@
 /// Makes one attempt; returns `None` if another writer changed the shard in between.
 async fn write_once(
     key: &str,
-    reservations: &[Reservation],
+    claims: &[Claim],
     platform: &dyn Platform,
 ) -> Result<Option<Vec<Decision>>, Error> {
     let value = platform.get(key).await?;
     let version = value.as_ref().map_or(0, |v| v.version);
     let body = value.map(|v| v.body).unwrap_or_default();
     let shard = Shard::decode(&body).map_err(|e| Error::Protocol(e.to_string()))?;
-    let Plan { decisions, write } = shard.plan(reservations, clock::wall_s());
+    let Plan { decisions, write } = shard.plan(claims, clock::wall_s());
     let Some(next) = write else {
         return Ok(Some(decisions));
     };
--- a/crates/jb-daemon/src/serve/completions.rs
+++ b/crates/jb-daemon/src/serve/completions.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use jb_policy::call::{Call, Refusal};
 use jb_policy::customer_limit::Admitted;
-use jb_policy::idempotency::{self, Decision, Reservation};
+use jb_policy::idempotency::{self, Claim, Decision};
 use jb_protocol::error::{Kind, Outcome};
 use jb_protocol::{event, header};
 use opentelemetry::trace::SpanKind;
@@ -196,11 +196,11 @@
     let Some(key) = key else {
         return Ok(());
     };
-    let reservation = Reservation {
+    let claim = Claim {
         key: idempotency::key(customer, service, key),
         owner: jb_policy::rendezvous::name_hash(id),
     };
-    match context.claims.claim(reservation).await {
+    match context.claims.claim(claim).await {
         Ok(Decision::Granted) => Ok(()),
         // The holder of the claim may have run the request.
         Ok(Decision::Duplicate) => Err(call.refuse_duplicate("a request with this key came before")),
--- a/crates/jb-policy/benches/decide.rs
+++ b/crates/jb-policy/benches/decide.rs
@@ -8,7 +8,7 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use jb_policy::customer_limit::Limits;
-use jb_policy::idempotency::{Reservation, Shard};
+use jb_policy::idempotency::{Claim, Shard};
 use jb_policy::member::{Member, Members};
 use jb_policy::prefix::{Chain, Scope};
 use jb_policy::route::{Pool, Query};
@@ -151,20 +151,20 @@
 fn claims(criterion: &mut Criterion) {
     let mut shard = Shard::default();
     for n in 0..2000_u64 {
-        let wish = Reservation {
+        let claim = Claim {
             key: u128::from(n),
             owner: n,
         };
-        shard = shard.plan(&[wish], 1).write.expect("a new entry");
+        shard = shard.plan(&[claim], 1).write.expect("a new entry");
     }
-    let wishes: Vec<Reservation> = (0..32_u64)
-        .map(|n| Reservation {
+    let claims: Vec<Claim> = (0..32_u64)
+        .map(|n| Claim {
             key: u128::from(n + 10_000),
             owner: n,
         })
         .collect();
     criterion.bench_function("claims/batch_of_32_into_2000", |bencher| {
-        bencher.iter(|| shard.plan(black_box(&wishes), 2).write.map(|s| s.encode()));
+        bencher.iter(|| shard.plan(black_box(&claims), 2).write.map(|s| s.encode()));
     });
 }
 
--- a/crates/jb-policy/src/idempotency.rs
+++ b/crates/jb-policy/src/idempotency.rs
@@ -29,27 +29,27 @@
     pub key: Key,
     /// Request that runs under the key.
     pub owner: Owner,
-    /// Time of the reservation, in seconds since the Unix epoch.
+    /// Time of the claim, in seconds since the Unix epoch.
     pub at_s: u64,
 }
 
-/// Reservation of a key that a request waits for.
+/// Claim to a key, for which a request waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reservation {
-    /// Key to reserve.
+pub struct Claim {
+    /// Key to claim.
     pub key: Key,
-    /// Request that reserves it.
+    /// Request that claims it.
     pub owner: Owner,
 }
 
-/// Result of a reservation.
+/// Result of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// The owner holds the key; the request may run.
     Granted,
     /// Another owner holds the key.
     Duplicate,
-    /// The shard is full; nothing was reserved.
+    /// The shard is full; nothing was claimed.
     Full,
 }
 
@@ -59,10 +59,10 @@
     records: Vec<Record>,
 }
 
-/// Result of a batch of reservations, with the write that it needs.
+/// Result of a batch of claims, with the write that it needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// A decision for each reservation, in order; `Granted` takes effect only once `write` has been written
+    /// A decision for each claim, in order; `Granted` takes effect only once `write` has been written
     /// by compare-and-swap on the shard that was read.
     pub decisions: Vec<Decision>,
     /// Shard to write; `None` if no record was added.
@@ -134,8 +134,8 @@
         self.records.is_empty()
     }
 
-    /// Decides a batch of reservations on the shard as it was read, without expired records.
-    pub fn plan(&self, reservations: &[Reservation], now_s: u64) -> Plan {
+    /// Decides a batch of claims on the shard as it was read, without expired records.
+    pub fn plan(&self, claims: &[Claim], now_s: u64) -> Plan {
         let oldest = now_s.saturating_sub(RETENTION_S);
         let mut records: Vec<Record> = self
             .records
@@ -146,17 +146,17 @@
         let mut owners: HashMap<Key, Owner> =
             records.iter().map(|record| (record.key, record.owner)).collect();
         let mut added = false;
-        let mut decisions = Vec::with_capacity(reservations.len());
-        for reservation in reservations {
-            let decision = match owners.get(&reservation.key) {
-                Some(owner) if *owner == reservation.owner => Decision::Granted,
+        let mut decisions = Vec::with_capacity(claims.len());
+        for claim in claims {
+            let decision = match owners.get(&claim.key) {
+                Some(owner) if *owner == claim.owner => Decision::Granted,
                 Some(_) => Decision::Duplicate,
                 None if records.len() >= MAX_RECORDS => Decision::Full,
                 None => {
-                    owners.insert(reservation.key, reservation.owner);
+                    owners.insert(claim.key, claim.owner);
                     records.push(Record {
-                        key: reservation.key,
-                        owner: reservation.owner,
+                        key: claim.key,
+                        owner: claim.owner,
                         at_s: now_s,
                     });
                     added = true;
--- a/crates/jb-policy/tests/idempotency.rs
+++ b/crates/jb-policy/tests/idempotency.rs
@@ -5,7 +5,7 @@
 
 use std::collections::HashMap;
 
-use jb_policy::idempotency::{Decision, Key, Owner, Plan, Reservation, Shard};
+use jb_policy::idempotency::{Claim, Decision, Key, Owner, Plan, Shard};
 use quickcheck::{Arbitrary as _, Gen, TestResult};
 
 const NOW_S: u64 = 1_800_000_000;
@@ -20,7 +20,7 @@
 
 /// A writer that may be paused between reading the document and writing it.
 struct Writer {
-    reservation: Reservation,
+    claim: Claim,
     read: Option<(u64, Plan)>,
 }
 
@@ -32,7 +32,7 @@
 ) {
     let Some((version, plan)) = writer.read.take() else {
         let shard = Shard::decode(&document.bytes).expect("the document is complete");
-        writer.read = Some((document.version, shard.plan(&[writer.reservation], NOW_S)));
+        writer.read = Some((document.version, shard.plan(&[writer.claim], NOW_S)));
         return;
     };
     let written = match &plan.write {
@@ -47,9 +47,9 @@
     };
     if written && plan.decisions == [Decision::Granted] {
         granted
-            .entry(writer.reservation.key)
+            .entry(writer.claim.key)
             .or_default()
-            .push(writer.reservation.owner);
+            .push(writer.claim.owner);
     }
 }
 
@@ -58,7 +58,7 @@
     let mut granted: HashMap<Key, Vec<Owner>> = HashMap::new();
     let mut writers: Vec<Writer> = (0..6)
         .map(|n| Writer {
-            reservation: Reservation {
+            claim: Claim {
                 key: Key::from(n % 2_u8),
                 owner: u64::from(n),
             },
@@ -88,13 +88,13 @@
 fn paused_writer_with_a_stale_read_does_not_get_the_key() {
     let mut document = Document::default();
     let mut granted = HashMap::new();
-    let reservation = |owner| Reservation { key: 1, owner };
+    let claim = |owner| Claim { key: 1, owner };
     let mut paused = Writer {
-        reservation: reservation(1),
+        claim: claim(1),
         read: None,
     };
     let mut other = Writer {
-        reservation: reservation(2),
+        claim: claim(2),
         read: None,
     };
     step(&mut document, &mut paused, false, &mut granted);
@@ -106,21 +106,18 @@
 
 #[test]
 fn record_is_kept_for_the_retention_and_expires_after_it() {
-    let reservations = [Reservation { key: 7, owner: 1 }];
-    let shard = Shard::default()
-        .plan(&reservations, NOW_S)
-        .write
-        .expect("a new record");
-    let other = [Reservation { key: 7, owner: 2 }];
+    let claims = [Claim { key: 7, owner: 1 }];
+    let shard = Shard::default().plan(&claims, NOW_S).write.expect("a new record");
+    let other = [Claim { key: 7, owner: 2 }];
     assert_eq!(shard.plan(&other, NOW_S + 3600).decisions, [Decision::Duplicate]);
     assert_eq!(shard.plan(&other, NOW_S + 3601).decisions, [Decision::Granted]);
 }
 
 #[test]
 fn truncated_document_is_rejected() {
-    let reservations = [Reservation { key: 7, owner: 1 }];
+    let claims = [Claim { key: 7, owner: 1 }];
     let bytes = Shard::default()
-        .plan(&reservations, NOW_S)
+        .plan(&claims, NOW_S)
         .write
         .expect("a new record")
         .encode();
