--- a/crates/jb-relay/src/exchange/feedback.rs
+++ b/crates/jb-relay/src/exchange/feedback.rs
@@ -8,8 +8,8 @@
 use crate::upstream::{Instance, Upstream};
 
 impl Exchange<'_> {
-    /// Sets the result that is reported to the engine's account.
-    fn set_account_ending(&self, ending: peers::Outcome) {
+    /// Sets the outcome that the release of the reservation reports.
+    fn set_reservation_outcome(&self, ending: peers::Outcome) {
         if let Some(noted) = &self.ending {
             noted.set(ending);
         }
@@ -31,7 +31,7 @@
             // An engine resets its streams when it loads new weights, which says nothing about its health.
             return;
         }
-        self.set_account_ending(peers::Outcome::Failed);
+        self.set_reservation_outcome(peers::Outcome::Failed);
         if core
             .upstreams
             .borrow_mut()
@@ -45,7 +45,7 @@
     /// Counts a successful attempt for the upstream's health.
     pub(super) fn record_success(&self, instance: &Instance) {
         let core = self.core;
-        self.set_account_ending(peers::Outcome::Succeeded);
+        self.set_reservation_outcome(peers::Outcome::Succeeded);
         if core
             .upstreams
             .borrow_mut()
--- a/crates/jb-relay/src/exchange/isolation.rs
+++ b/crates/jb-relay/src/exchange/isolation.rs
@@ -115,7 +115,7 @@
             decision: Decision::Send,
             full: false,
             isolated: true,
-            account: None,
+            reserved: None,
         })
     }
 
--- a/crates/jb-relay/src/exchange/kv_transfer.rs
+++ b/crates/jb-relay/src/exchange/kv_transfer.rs
@@ -8,7 +8,7 @@
 use jb_policy::weights::Version;
 use jb_protocol::{emit, event};
 
-use super::account_query::AccountState;
+use super::reservation_query::ReservedEngine;
 use super::run::Exchange;
 use super::selection::{self, CandidateSet};
 use crate::peers::{self, SentPrompt};
@@ -25,14 +25,14 @@
 
     /// Decides from where the engine loads segments that it has not cached, and whether it writes them to a cache
     /// store. Returns the tokens that the engine has to prefill.
-    pub(super) fn plan_transfer(&mut self, instance: &Instance, account: Option<&AccountState>) -> u64 {
+    pub(super) fn plan_transfer(&mut self, instance: &Instance, reserved: Option<&ReservedEngine>) -> u64 {
         let request = self.message.request;
         let core = self.core;
         let Some((last, shared)) = request.prompt.split_last() else {
             return 0;
         };
-        if let Some(account) = account {
-            return self.plan_transfer_by_account(instance, last.tokens, account);
+        if let Some(reserved) = reserved {
+            return self.plan_transfer_by_reservations(instance, last.tokens, reserved);
         }
         let criteria = selection::criteria(
             core,
@@ -80,8 +80,13 @@
         unread
     }
 
-    /// Like [`Self::plan_transfer`], from the state in the engine's account.
-    fn plan_transfer_by_account(&mut self, instance: &Instance, own: u64, account: &AccountState) -> u64 {
+    /// Like [`Self::plan_transfer`], from the state that came with the reservation.
+    fn plan_transfer_by_reservations(
+        &mut self,
+        instance: &Instance,
+        own: u64,
+        reserved: &ReservedEngine,
+    ) -> u64 {
         let request = self.message.request;
         let core = self.core;
         let shared = self.demand().shared_tokens();
@@ -94,29 +99,29 @@
             store.map(|store| store.address)
         };
         let plan = transfer::plan_advised(&CachedTokens {
-            own: account.found,
-            engine: account.other.map_or(0, |(_, found)| found),
-            store: if account.stored { shared } else { 0 },
+            own: reserved.found,
+            engine: reserved.other.map_or(0, |(_, found)| found),
+            store: if reserved.stored { shared } else { 0 },
             shared,
             has_store: store.is_some(),
             is_exact: true,
         });
         self.message.kv_source = match plan.origin {
             Origin::Nowhere => None,
-            Origin::Engine => account.other.map(|(address, _)| address),
+            Origin::Engine => reserved.other.map(|(address, _)| address),
             Origin::Store => store,
         };
-        self.message.kv_target = store.filter(|_| account.send_to_store);
+        self.message.kv_target = store.filter(|_| reserved.send_to_store);
         let unread = request
             .prompt_tokens()
-            .saturating_sub(account.found + plan.tokens)
+            .saturating_sub(reserved.found + plan.tokens)
             .max(own);
         emit!(core.logger, info, event::REQUEST_PLACED, "request" => &request.id, "upstream" => %instance,
-            "tokens" => request.prompt_tokens(), "shared" => shared, "found" => account.found,
-            "brought" => plan.tokens, "unread" => unread, "origin" => ?plan.origin, "stored" => account.stored,
+            "tokens" => request.prompt_tokens(), "shared" => shared, "found" => reserved.found,
+            "brought" => plan.tokens, "unread" => unread, "origin" => ?plan.origin, "stored" => reserved.stored,
             "from" => self.message.kv_source.map(|from| from.to_string()), "to_store" => self.message.kv_target.is_some(),
-            "family" => self.demand().prefix_group(), "running" => account.load.running,
-            "waiting" => account.load.queued_tokens);
+            "family" => self.demand().prefix_group(), "running" => reserved.load.running,
+            "waiting" => reserved.load.queued_tokens);
         unread
     }
 
--- a/crates/jb-relay/src/exchange/load_guard.rs
+++ b/crates/jb-relay/src/exchange/load_guard.rs
@@ -19,7 +19,7 @@
     first_event_at: Option<Moment>,
     /// Prompt tokens that the engine prefills before this request's first token, its own included.
     queued_tokens: u64,
-    /// Reservation in the engine's account.
+    /// Reservation at the engine.
     reservation: Option<Reservation>,
 }
 
--- a/crates/jb-relay/src/exchange/mod.rs
+++ b/crates/jb-relay/src/exchange/mod.rs
@@ -1,11 +1,11 @@
 //! Runs an admitted request: selects an upstream, sends, retries, and delivers the response.
 
-mod account_query;
 mod feedback;
 mod isolation;
 mod kv_transfer;
 mod load_guard;
 mod pick;
+mod reservation_query;
 mod run;
 mod selection;
 
--- a/crates/jb-relay/src/exchange/account_query.rs
+++ b/crates/jb-relay/src/exchange/reservation_query.rs
@@ -1,7 +1,7 @@
-//! Selection of an engine by its account.
+//! Selection of an engine by its reservations.
 //!
-//! In a large fleet the load of each engine is tracked by one box, in the engine's account. For a prompt, the
-//! accounts of the engines that rank first for its prefix group are queried.
+//! In a large fleet one box keeps the reservations at each engine, and thereby tracks its load. For a prompt, the
+//! boxes that keep the reservations at the engines that rank first for its prefix group are queried.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,17 +19,17 @@
 use crate::saturating_cast::saturating_cast;
 use crate::upstream::{Criteria, Instance};
 
-/// Upper bound on the accounts queried for one prompt: first that of the prefix group's home engine, then the
+/// Upper bound on the engines queried for one prompt: first the prefix group's home engine, then the
 /// others in parallel if it has no room.
-const MAX_QUERIED_ACCOUNTS: usize = 4;
+const MAX_QUERIED_ENGINES: usize = 4;
 /// Fewest uncached shared tokens for which other engines are queried. Prompts that share fewer tokens are placed
 /// by load alone.
 const MIN_SHARED_TOKENS: u64 = 512;
 /// Engines with an open connection that are compared for a prompt with few shared tokens.
 const MAX_CONNECTED: usize = 3;
 
-/// State of the selected engine according to its account.
-pub(super) struct AccountState {
+/// State of the selected engine as reported by the box that keeps its reservations.
+pub(super) struct ReservedEngine {
     /// Load of the engine.
     pub load: Load,
     /// Reservation at the engine.
@@ -50,7 +50,7 @@
     candidate: Candidate,
 }
 
-/// Selects the engine for a prompt by the accounts of engines; `None` if there is no candidate.
+/// Selects the engine for a prompt by the reservations at engines; `None` if there is no candidate.
 pub(super) async fn choose(
     core: &Shared,
     request: &AdmittedRequest,
@@ -59,7 +59,7 @@
     candidate_set: CandidateSet,
 ) -> Option<Choice> {
     let (last, shared) = request.prompt.split_last()?;
-    let query = AccountQuery {
+    let query = ReservationQuery {
         core,
         criteria: selection::criteria(core, request, body, tried, candidate_set),
         prompt: Prompt {
@@ -74,7 +74,7 @@
     let ranked = core
         .upstreams
         .borrow()
-        .ranked(group, &query.criteria, MAX_QUERIED_ACCOUNTS, core.now());
+        .ranked(group, &query.criteria, MAX_QUERIED_ENGINES, core.now());
     let (home, others) = ranked.split_first()?;
     let round = if query.is_barely_shared() {
         query.query_connected(home).await
@@ -92,7 +92,7 @@
 }
 
 /// Selection of an engine for one prompt.
-struct AccountQuery<'a> {
+struct ReservationQuery<'a> {
     core: &'a Shared,
     criteria: Criteria<'a>,
     prompt: Prompt<'a>,
@@ -108,7 +108,7 @@
     Candidates(Vec<QueriedEngine>),
 }
 
-impl AccountQuery<'_> {
+impl ReservationQuery<'_> {
     /// Returns whether the prompt shares so few tokens that it is placed by load alone.
     fn is_barely_shared(&self) -> bool {
         self.criteria.demand.shared_tokens() < MIN_SHARED_TOKENS
@@ -127,10 +127,10 @@
         if !near.contains(home) {
             near.push(home.clone());
         }
-        let queried = self.query_accounts(&near).await;
+        let queried = self.query_engines(&near).await;
         if queried.is_empty() {
             let reservation = peers::hold_reservation(self.core, home, self.place);
-            return QueryRound::Chosen(Box::new(choice_without_account(reservation, home)));
+            return QueryRound::Chosen(Box::new(choice_without_reply(reservation, home)));
         }
         QueryRound::Candidates(queried)
     }
@@ -148,7 +148,7 @@
         let reservation = peers::hold_reservation(self.core, home, self.place);
         let Some(view) = peers::request_reservation(self.core, home, self.place, &self.prompt, room).await
         else {
-            return QueryRound::Chosen(Box::new(choice_without_account(reservation, home)));
+            return QueryRound::Chosen(Box::new(choice_without_reply(reservation, home)));
         };
         let first = self.queried(home, view);
         if let Some(home) = first.as_ref().filter(|_| view.is_reserved) {
@@ -158,7 +158,7 @@
                 .shared_tokens()
                 .saturating_sub(view.cached_tokens);
             let rest = if missing >= MIN_SHARED_TOKENS {
-                self.query_accounts(&self.previous_homes(group, &home.instance))
+                self.query_engines(&self.previous_homes(group, &home.instance))
                     .await
             } else {
                 Vec::new()
@@ -166,7 +166,7 @@
             return QueryRound::Chosen(Box::new(self.build_choice(home, reservation, &rest)));
         }
         drop(reservation);
-        let others = self.query_accounts(others).await;
+        let others = self.query_engines(others).await;
         QueryRound::Candidates(first.into_iter().chain(others).collect())
     }
 
@@ -202,7 +202,7 @@
                 decision,
                 full: best.candidate.is_full(),
                 isolated: false,
-                account: None,
+                reserved: None,
             });
         }
         let reservation = peers::hold_reservation(self.core, &best.instance, self.place);
@@ -249,7 +249,7 @@
             decision: Decision::Send,
             full: best.candidate.is_full(),
             isolated: false,
-            account: Some(AccountState {
+            reserved: Some(ReservedEngine {
                 reservation,
                 load: best.view.load,
                 found: best.view.cached_tokens,
@@ -264,12 +264,12 @@
     /// Returns the engines that may have a prefix group cached because they were its home before.
     fn previous_homes(&self, group: u64, home: &Instance) -> Vec<Instance> {
         let upstreams = self.core.upstreams.borrow();
-        let first = upstreams.ranked_exporters(group, &self.criteria, MAX_QUERIED_ACCOUNTS, self.core.now());
+        let first = upstreams.ranked_exporters(group, &self.criteria, MAX_QUERIED_ENGINES, self.core.now());
         first.into_iter().filter(|instance| instance != home).collect()
     }
 
-    /// Queries the accounts of engines without a reservation.
-    async fn query_accounts(&self, ids: &[Instance]) -> Vec<QueriedEngine> {
+    /// Queries the state of engines without making a reservation.
+    async fn query_engines(&self, ids: &[Instance]) -> Vec<QueriedEngine> {
         let looks = ids.iter().map(|instance| async {
             let place = peers::draw_reservation_id(self.core);
             let view =
@@ -301,8 +301,8 @@
     }
 }
 
-/// Builds the choice of an engine whose account did not answer.
-fn choice_without_account(reservation: Reservation, home: &Instance) -> Choice {
+/// Builds the choice of an engine for which the box that keeps its reservations did not answer.
+fn choice_without_reply(reservation: Reservation, home: &Instance) -> Choice {
     Choice {
         instance: home.clone(),
         estimate: Estimate {
@@ -312,7 +312,7 @@
         decision: Decision::Send,
         full: false,
         isolated: false,
-        account: Some(AccountState {
+        reserved: Some(ReservedEngine {
             reservation,
             load: Load::default(),
             found: 0,
--- a/crates/jb-relay/src/exchange/run.rs
+++ b/crates/jb-relay/src/exchange/run.rs
@@ -57,7 +57,7 @@
     pub(super) rejection: Option<Rejection>,
     /// Hash of the request's content, computed on first use.
     pub(super) content: OnceCell<Fingerprint>,
-    /// Result of the current attempt, which is reported to the engine's account.
+    /// Result of the current attempt, which the release of the reservation reports.
     pub(super) ending: Option<Rc<Cell<peers::Outcome>>>,
     pub(super) timing: StreamTiming,
 }
@@ -160,15 +160,15 @@
         let request = self.message.request;
         let Choice {
             instance,
-            account,
+            reserved,
             estimate,
             isolated,
             ..
         } = choice;
         let instance = &instance;
-        let waiting = self.plan_transfer(instance, account.as_ref());
+        let waiting = self.plan_transfer(instance, reserved.as_ref());
         let last = !request.route.is_retryable() || self.runs + 1 >= request.route.max_attempts;
-        let reservation = account.map(|account| account.reservation);
+        let reservation = reserved.map(|reserved| reserved.reservation);
         self.ending = reservation.as_ref().map(Reservation::outcome);
         let mut counted = LoadGuard::new(core, instance, waiting, last, reservation);
         self.tried.push(instance.clone());
--- a/crates/jb-relay/src/exchange/selection.rs
+++ b/crates/jb-relay/src/exchange/selection.rs
@@ -6,7 +6,7 @@
 use jb_policy::hall_reachability::Avoided;
 use jb_policy::placement::{self, CostModel, Demand};
 
-use super::account_query::{self, AccountState};
+use super::reservation_query::{self, ReservedEngine};
 use crate::admission::AdmittedRequest;
 use crate::core::{Core, Shared};
 use crate::peers;
@@ -25,8 +25,8 @@
     pub(super) full: bool,
     /// Whether the request is a suspect in an isolated trial.
     pub(super) isolated: bool,
-    /// State by the engine's account; `None` if no account was queried.
-    pub(super) account: Option<AccountState>,
+    /// State of the engine with the reservation; `None` if no reservation was made.
+    pub(super) reserved: Option<ReservedEngine>,
 }
 
 impl Choice {
@@ -48,7 +48,7 @@
 }
 
 /// Selects the upstream for the next attempt. In a large fleet, where boxes can't broadcast the load of all
-/// engines to each other, the accounts of engines are queried.
+/// engines to each other, the boxes that keep the engines' reservations are queried.
 ///
 /// An upstream in an unreachable data hall is selected only if no other one has a free slot. After an outage of
 /// the store the same applies to an upstream whose entry is missing, as it may be gone.
@@ -80,9 +80,9 @@
     tried: &[Instance],
     candidate_set: CandidateSet,
 ) -> Option<Choice> {
-    let use_accounts = !request.prompt.is_empty() && !core.directory.borrow().is_small();
-    if use_accounts
-        && let Some(choice) = account_query::choose(core, request, body, tried, candidate_set).await
+    let use_reservations = !request.prompt.is_empty() && !core.directory.borrow().is_small();
+    if use_reservations
+        && let Some(choice) = reservation_query::choose(core, request, body, tried, candidate_set).await
     {
         return Some(choice);
     }
@@ -122,7 +122,7 @@
     };
     Some(Choice {
         instance: ids[at].clone(),
-        // In a large fleet, loads that don't come from an account are 0.2 to 0.6 s old, which is too old
+        // In a large fleet, loads that don't come from reservations are 0.2 to 0.6 s old, which is too old
         // to decide that a request has to wait.
         decision: if core.directory.borrow().is_small() {
             admission_verdict(core, request, &estimate)
@@ -132,7 +132,7 @@
         full: candidates[at].is_full(),
         isolated: false,
         estimate,
-        account: None,
+        reserved: None,
     })
 }
 
--- a/crates/jb-relay/src/metrics.rs
+++ b/crates/jb-relay/src/metrics.rs
@@ -38,8 +38,8 @@
     pub retries: Counter,
     /// Rejected datagrams: malformed, or not from a box.
     pub rejected_datagrams: Counter,
-    /// Queries to engine accounts that timed out.
-    pub account_timeouts: Counter,
+    /// Reservation queries that timed out.
+    pub reservation_timeouts: Counter,
     /// Requests rejected because their customer's quota was exceeded.
     pub quota_exceeded: Counter,
     /// Charges to customers' quotas that timed out.
@@ -90,7 +90,7 @@
             FIRST_BYTE_BUCKETS.2,
         ));
         let retries = Counter::default();
-        let account_timeouts = Counter::default();
+        let reservation_timeouts = Counter::default();
         let rejected_datagrams = Counter::default();
         let quota_exceeded = Counter::default();
         let quota_timeouts = Counter::default();
@@ -115,8 +115,8 @@
         registry.register("strange", "Rejected datagrams", rejected_datagrams.clone());
         registry.register(
             "unadvised",
-            "Queries to engine accounts that timed out",
-            account_timeouts.clone(),
+            "Reservation queries that timed out",
+            reservation_timeouts.clone(),
         );
         registry.register(
             "limit_refused",
@@ -203,7 +203,7 @@
             requests,
             first_byte,
             retries,
-            account_timeouts,
+            reservation_timeouts,
             rejected_datagrams,
             quota_exceeded,
             quota_timeouts,
--- a/crates/jb-relay/src/peers/reservation.rs
+++ b/crates/jb-relay/src/peers/reservation.rs
@@ -154,7 +154,7 @@
     let message = Message::Reserve(query);
     let reply = queries.query(core, (&owner_id, address), (id, name), &message, REPLY_TIMEOUT);
     let Some(reply) = reply.await else {
-        core.metrics.account_timeouts.inc();
+        core.metrics.reservation_timeouts.inc();
         return None;
     };
     apply_weights(core, engine, &reply);
@@ -276,7 +276,7 @@
         .collect();
     let all: u64 = shared.iter().map(|segment| segment.tokens).sum();
     let cached_tokens = upstream.cache.cached_tokens(&shared);
-    let load = upstream.account.load();
+    let load = upstream.reservations.load();
     let is_open = upstream.is_available(now);
     let slots = upstream.entry.slots;
     let is_reserved = match query.admission {
@@ -285,17 +285,17 @@
         Admission::QueueLimit(limit) => is_open && load.has_capacity(slots, u64::from(limit)),
     };
     let family = family(upstream, &shared);
-    let is_stored = family.is_some_and(|family| upstream.account.is_stored(family, now));
+    let is_stored = family.is_some_and(|family| upstream.reservations.is_stored(family, now));
     let mut send_to_store = false;
     if is_reserved {
         send_to_store = family.is_some_and(|family| {
             upstream
-                .account
+                .reservations
                 .schedule_store_send(family, u64::from(query.unshared) <= all / 2, now)
         });
         let prefill = u64::from(query.unshared) + if is_stored { 0 } else { all - cached_tokens };
         let deadline = now + Duration::from_millis(query.deadline_ms.into());
-        upstream.account.reserve(query.id, prefill, deadline);
+        upstream.reservations.reserve(query.id, prefill, deadline);
         upstream.health.note_sent();
         upstream
             .cache
@@ -325,7 +325,7 @@
 pub fn expire_reservations(core: &Core) {
     let now = core.now();
     for upstream in core.upstreams.borrow_mut().values_mut() {
-        if upstream.account.expire(now) > 0 {
+        if upstream.reservations.expire(now) > 0 {
             // One of them may have been the single request that probes a failing engine.
             upstream.health.note_inconclusive();
         }
@@ -339,10 +339,10 @@
         return false;
     };
     if update.outcome.is_none() {
-        upstream.account.record_first_token(update.id);
+        upstream.reservations.record_first_token(update.id);
         return false;
     }
-    upstream.account.release(update.id)
+    upstream.reservations.release(update.id)
 }
 
 /// Applies the outcome of another box's request to the engine's health.
--- a/crates/jb-relay/src/upstream/instance.rs
+++ b/crates/jb-relay/src/upstream/instance.rs
@@ -1,7 +1,7 @@
 //! Identity of one run of an upstream, from its start to its end.
 //!
 //! An upstream can restart under the same id and loses all state when it does. State of a single instance is
-//! in [`super::Upstream`] and is dropped with it: cached segments, account, failures, weights, backoff, rate
+//! in [`super::Upstream`] and is dropped with it: cached segments, reservations, failures, weights, backoff, rate
 //! limit, idle connections, load, and whether it drains. The pause after a load order is kept per id instead,
 //! because an order sent to one instance may be executed by the next.
 //!
--- a/crates/jb-relay/src/upstream/state.rs
+++ b/crates/jb-relay/src/upstream/state.rs
@@ -58,8 +58,8 @@
     pub draining_by_peer: bool,
     /// Model of the engine's prefix cache.
     pub cache: PrefixCache,
-    /// Account of the upstream, used if this box owns it.
-    pub account: Reservations,
+    /// Reservations at the upstream, used if this box keeps them.
+    pub reservations: Reservations,
     /// Idle connections, the most recently used last.
     pub idle: Vec<IdleConnection>,
 }
@@ -95,7 +95,7 @@
             replaced: false,
             draining_by_peer: false,
             cache: PrefixCache::default(),
-            account: Reservations::default(),
+            reservations: Reservations::default(),
             idle: Vec::new(),
         }
     }
--- a/crates/jb-relay/tests/round_trip.rs
+++ b/crates/jb-relay/tests/round_trip.rs
@@ -1,8 +1,8 @@
 //! Time-outs for requests between boxes.
 //!
 //! Guards against time-outs below the round-trip time: with 40 ms between two regions, each request to the owner of an
-//! engine's account timed out after 25 ms. Owners counted as unresponsive, accounts moved from box to box, and shared
-//! prompts were prefilled again.
+//! engine's reservations timed out after 25 ms. Owners counted as unresponsive, reservations moved from box to box,
+//! and shared prompts were prefilled again.
 
 use std::time::Duration;
 
