--- a/crates/jb-relay/src/cache_store.rs
+++ b/crates/jb-relay/src/cache_store.rs
@@ -77,11 +77,11 @@
         }
     }
 
-    /// Returns the store of a prefix group; always the same one for the same group.
-    pub fn for_group(&mut self, group: u64) -> Option<&mut CacheStore> {
+    /// Returns the store of a prefix group; always the same one for the same prefix group.
+    pub fn for_prefix_group(&mut self, prefix_group: u64) -> Option<&mut CacheStore> {
         self.0
             .iter_mut()
-            .max_by_key(|store| rendezvous::weight(group, store.name))
+            .max_by_key(|store| rendezvous::weight(prefix_group, store.name))
     }
 
     /// Returns the store with a name.
--- a/crates/jb-relay/src/exchange/kv_transfer.rs
+++ b/crates/jb-relay/src/exchange/kv_transfer.rs
@@ -95,7 +95,7 @@
             let store = self
                 .demand()
                 .prefix_group()
-                .and_then(|group| cache_stores.for_group(group));
+                .and_then(|prefix_group| cache_stores.for_prefix_group(prefix_group));
             store.map(|store| store.address)
         };
         let plan = transfer::plan_advised(&CachedTokens {
@@ -162,7 +162,7 @@
         let store = self
             .demand()
             .prefix_group()
-            .and_then(|group| cache_stores.for_group(group));
+            .and_then(|prefix_group| cache_stores.for_prefix_group(prefix_group));
         let (Some(store), Some(version)) = (store, version) else {
             return elsewhere;
         };
@@ -177,7 +177,7 @@
     /// Returns the address of the prefix group's cache store as the source of segments.
     fn read_from_store(&self, shared: &[Segment], version: Option<Version>) -> Option<SocketAddr> {
         let mut cache_stores = self.core.cache_stores.borrow_mut();
-        let store = cache_stores.for_group(self.demand().prefix_group()?)?;
+        let store = cache_stores.for_prefix_group(self.demand().prefix_group()?)?;
         // Segments that the store has evicted count as stored only after they are written again.
         store.note_load(shared, version?);
         Some(store.address)
@@ -194,7 +194,7 @@
     ) -> Option<SocketAddr> {
         let mut cache_stores = self.core.cache_stores.borrow_mut();
         let all = self.demand().shared_tokens();
-        let store = cache_stores.for_group(self.demand().prefix_group()?)?;
+        let store = cache_stores.for_prefix_group(self.demand().prefix_group()?)?;
         let version = version?;
         if held >= all || own > all * MAX_OWN_PER_SHARED {
             return None;
--- a/crates/jb-relay/src/exchange/reservation_query.rs
+++ b/crates/jb-relay/src/exchange/reservation_query.rs
@@ -70,17 +70,17 @@
         cost_model: selection::cost_model(core, request),
         place: peers::draw_reservation_id(core),
     };
-    let group = query.criteria.demand.prefix_group()?;
-    let ranked = core
-        .upstreams
-        .borrow()
-        .ranked(group, &query.criteria, MAX_QUERIED_ENGINES, core.now());
+    let prefix_group = query.criteria.demand.prefix_group()?;
+    let ranked =
+        core.upstreams
+            .borrow()
+            .ranked(prefix_group, &query.criteria, MAX_QUERIED_ENGINES, core.now());
     let (home, others) = ranked.split_first()?;
     let round = if query.is_barely_shared() {
         query.query_connected(home).await
     } else {
         query
-            .query_home(home, others, group, request.route.target_latency)
+            .query_home(home, others, prefix_group, request.route.target_latency)
             .await
     };
     let mut queried = match round {
@@ -140,7 +140,7 @@
         &self,
         home: &Instance,
         others: &[Instance],
-        group: u64,
+        prefix_group: u64,
         target: Duration,
     ) -> QueryRound {
         let queued_tokens = reservation::max_queued_tokens(self.cost_model.prefill_tokens_per_ms, target);
@@ -158,7 +158,7 @@
                 .shared_tokens()
                 .saturating_sub(view.cached_tokens);
             let rest = if missing >= MIN_SHARED_TOKENS {
-                self.query_engines(&self.previous_homes(group, &home.instance))
+                self.query_engines(&self.previous_homes(prefix_group, &home.instance))
                     .await
             } else {
                 Vec::new()
@@ -262,9 +262,10 @@
     }
 
     /// Returns the engines that may have a prefix group cached because they were its home before.
-    fn previous_homes(&self, group: u64, home: &Instance) -> Vec<Instance> {
+    fn previous_homes(&self, prefix_group: u64, home: &Instance) -> Vec<Instance> {
         let upstreams = self.core.upstreams.borrow();
-        let first = upstreams.ranked_exporters(group, &self.criteria, MAX_QUERIED_ENGINES, self.core.now());
+        let first =
+            upstreams.ranked_exporters(prefix_group, &self.criteria, MAX_QUERIED_ENGINES, self.core.now());
         first.into_iter().filter(|instance| instance != home).collect()
     }
 
--- a/crates/jb-relay/src/peers/reservation.rs
+++ b/crates/jb-relay/src/peers/reservation.rs
@@ -284,14 +284,15 @@
         Admission::Inspect => false,
         Admission::QueueLimit(limit) => is_open && load.has_capacity(slots, u64::from(limit)),
     };
-    let family = family(upstream, &shared);
-    let is_stored = family.is_some_and(|family| upstream.reservations.is_stored(family, now));
+    let prefix_group = prefix_group(upstream, &shared);
+    let is_stored =
+        prefix_group.is_some_and(|prefix_group| upstream.reservations.is_stored(prefix_group, now));
     let mut send_to_store = false;
     if is_reserved {
-        send_to_store = family.is_some_and(|family| {
+        send_to_store = prefix_group.is_some_and(|prefix_group| {
             upstream
                 .reservations
-                .schedule_store_send(family, u64::from(query.unshared) <= all / 2, now)
+                .schedule_store_send(prefix_group, u64::from(query.unshared) <= all / 2, now)
         });
         let prefill = u64::from(query.unshared) + if is_stored { 0 } else { all - cached_tokens };
         let deadline = now + Duration::from_millis(query.deadline_ms.into());
@@ -316,7 +317,7 @@
 }
 
 /// Returns an id of the prompt's last shared segment under the version of the engine's weights.
-fn family(upstream: &Upstream, shared: &[Segment]) -> Option<u64> {
+fn prefix_group(upstream: &Upstream, shared: &[Segment]) -> Option<u64> {
     let version = upstream.entry.models.first()?.version;
     Some(rendezvous::weight(shared.last()?.id, version))
 }
--- a/crates/jb-relay/src/upstream/selection.rs
+++ b/crates/jb-relay/src/upstream/selection.rs
@@ -15,12 +15,12 @@
     hall: &'a str,
 }
 
-/// Returns the highest-ranked upstreams for a prefix family, in an order that is the same on all boxes.
-fn top_ranked<'a>(family: u64, all: impl Iterator<Item = &'a Upstream>, count: usize) -> Vec<Instance> {
+/// Returns the highest-ranked upstreams for a prefix group, in an order that is the same on all boxes.
+fn top_ranked<'a>(prefix_group: u64, all: impl Iterator<Item = &'a Upstream>, count: usize) -> Vec<Instance> {
     let (instances, hashes): (Vec<&Instance>, Vec<u64>) = all
         .map(|upstream| (&upstream.instance, upstream.name_hash))
         .unzip();
-    let top = rendezvous::top(family, hashes.into_iter().enumerate(), count);
+    let top = rendezvous::top(prefix_group, hashes.into_iter().enumerate(), count);
     top.into_iter().map(|at| instances[at].clone()).collect()
 }
 
@@ -48,9 +48,15 @@
         self.iter().any(|(_, upstream)| has(upstream))
     }
 
-    /// Returns the highest-ranked available engines for a prefix family, in an order that is the same on all boxes.
-    pub fn ranked(&self, family: u64, criteria: &Criteria<'_>, count: usize, now: Moment) -> Vec<Instance> {
-        top_ranked(family, self.available(criteria, now), count)
+    /// Returns the highest-ranked available engines for a prefix group, in an order that is the same on all boxes.
+    pub fn ranked(
+        &self,
+        prefix_group: u64,
+        criteria: &Criteria<'_>,
+        count: usize,
+        now: Moment,
+    ) -> Vec<Instance> {
+        top_ranked(prefix_group, self.available(criteria, now), count)
     }
 
     /// Returns available engines to which this box has an idle connection, the most recently used first.
@@ -66,10 +72,10 @@
             .collect()
     }
 
-    /// Returns the highest-ranked engines for a prefix family among those that can export cached segments.
+    /// Returns the highest-ranked engines for a prefix group among those that can export cached segments.
     pub fn ranked_exporters(
         &self,
-        family: u64,
+        prefix_group: u64,
         criteria: &Criteria<'_>,
         count: usize,
         now: Moment,
@@ -77,7 +83,7 @@
         let all = self
             .of_service(criteria.service)
             .filter(|upstream| upstream.can_export(now));
-        top_ranked(family, all, count)
+        top_ranked(prefix_group, all, count)
     }
 
     /// Returns the available engine with the fewest requests among those that are `free`. `None` if only one of
