--- a/crates/jb-relay/src/attempt.rs
+++ b/crates/jb-relay/src/attempt.rs
@@ -72,7 +72,7 @@
 
 impl Message<'_> {
     /// Returns the hash of the content, which is the same on other boxes and for the caller's retries.
-    pub fn content(&self) -> Fingerprint {
+    pub fn fingerprint(&self) -> Fingerprint {
         let host = self.head.headers.get("host").unwrap_or_default();
         let caller = self.request.customer.as_deref().unwrap_or_default();
         Fingerprint::new(caller, &[host, &self.head.target], self.body)
--- a/crates/jb-relay/src/exchange/isolation.rs
+++ b/crates/jb-relay/src/exchange/isolation.rs
@@ -54,23 +54,23 @@
         if quarantine.is_empty() {
             return poison::Verdict::Unsuspected;
         }
-        let content = self.content();
-        quarantine.ledger().verdict(content, self.core.now())
+        let fingerprint = self.fingerprint();
+        quarantine.ledger().verdict(fingerprint, self.core.now())
     }
 
     /// Returns the hash of the request's content, which is the same on other boxes and for later retries.
-    pub(super) fn content(&self) -> poison::Fingerprint {
-        *self.content.get_or_init(|| self.message.content())
+    pub(super) fn fingerprint(&self) -> poison::Fingerprint {
+        *self.fingerprint.get_or_init(|| self.message.fingerprint())
     }
 
     /// Rejects a request that is known to crash engines.
     fn reject_quarantined(&self) -> Rejection {
-        let content = self.content();
+        let fingerprint = self.fingerprint();
         let after = self
             .core
             .quarantine
             .ledger()
-            .retention_left(content, self.core.now());
+            .retention_left(fingerprint, self.core.now());
         self.core.metrics.quarantine_rejections.inc();
         Rejection {
             why: "ends_engines",
@@ -82,15 +82,15 @@
     /// so that a crash does the least harm. `None` while a trial of the same request runs on any engine, or if only
     /// the last available engine is left.
     fn choose_isolated(&self) -> Option<Choice> {
-        let content = self.content();
+        let fingerprint = self.fingerprint();
         let core = self.core;
         let now = core.now();
         let (trials, ended) = {
             let ledger = core.quarantine.ledger();
-            if ledger.has_trial(content, now) {
+            if ledger.has_trial(fingerprint, now) {
                 return None;
             }
-            (ledger.trials(now), ledger.crashed_engines(content))
+            (ledger.trials(now), ledger.crashed_engines(fingerprint))
         };
         let request = self.message.request;
         let criteria = selection::criteria(
@@ -123,16 +123,16 @@
     /// faults and engine errors cause it too; in those cases the engine still accepts a new connection.
     pub(super) async fn note_end(&self, instance: &Instance, isolated: bool) {
         if pool::has_crashed(self.core, instance).await {
-            let content = self.content();
-            quarantine::note_crash(self.core, content, instance, isolated);
+            let fingerprint = self.fingerprint();
+            quarantine::note_crash(self.core, fingerprint, instance, isolated);
         }
     }
 
     /// Records that an engine has executed the request without a crash.
     pub(super) fn note_run(&self, instance: &Instance) {
         if !self.core.quarantine.is_empty() {
-            let content = self.content();
-            quarantine::note_success(self.core, content, instance);
+            let fingerprint = self.fingerprint();
+            quarantine::note_success(self.core, fingerprint, instance);
         }
     }
 }
--- a/crates/jb-relay/src/exchange/run.rs
+++ b/crates/jb-relay/src/exchange/run.rs
@@ -56,7 +56,7 @@
     /// Why the request is sent to no upstream now.
     pub(super) rejection: Option<Rejection>,
     /// Hash of the request's content, computed on first use.
-    pub(super) content: OnceCell<Fingerprint>,
+    pub(super) fingerprint: OnceCell<Fingerprint>,
     /// Result of the current attempt, which the release of the reservation reports.
     pub(super) ending: Option<Rc<Cell<peers::Outcome>>>,
     pub(super) timing: StreamTiming,
@@ -94,7 +94,7 @@
             runs: 0,
             retry_granted: false,
             rejection: None,
-            content: OnceCell::new(),
+            fingerprint: OnceCell::new(),
             ending: None,
             timing: StreamTiming::default(),
         }
@@ -173,7 +173,7 @@
         let mut counted = LoadGuard::new(core, instance, waiting, last, reservation);
         self.tried.push(instance.clone());
         // Marks the isolated trial as running until this attempt ends.
-        let _tried = isolated.then(|| quarantine::begin_trial(core, self.content(), instance));
+        let _tried = isolated.then(|| quarantine::begin_trial(core, self.fingerprint(), instance));
         let outcome = tokio::select! {
             outcome = self.send_until_stalled(instance, permit, estimate.ttft) => outcome,
             () = client.wait_closed() => {
--- a/crates/jb-relay/src/peers/suspicion.rs
+++ b/crates/jb-relay/src/peers/suspicion.rs
@@ -44,9 +44,9 @@
             }
             let quarantined = news
                 .iter()
-                .filter(|news| news.trial.is_none() && quarantine_record::is_due(&core, news.content));
-            for EvidenceUpdate { content, .. } in quarantined {
-                spawn_local(quarantine_record::write(Rc::clone(&core), *content));
+                .filter(|news| news.trial.is_none() && quarantine_record::is_due(&core, news.fingerprint));
+            for EvidenceUpdate { fingerprint, .. } in quarantined {
+                spawn_local(quarantine_record::write(Rc::clone(&core), *fingerprint));
             }
             continue;
         }
@@ -89,7 +89,7 @@
 }
 
 fn to_suspect(core: &Core, news: &EvidenceUpdate) -> Option<Suspect> {
-    let row = core.quarantine.ledger().row(news.content)?;
+    let row = core.quarantine.ledger().row(news.fingerprint)?;
     Some(suspect(core, &row, news.trial))
 }
 
--- a/crates/jb-relay/src/quarantine.rs
+++ b/crates/jb-relay/src/quarantine.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EvidenceUpdate {
     /// Content hash of the request.
-    pub content: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// Trial that this box has started or ended, if any.
     pub trial: Option<Trial>,
 }
@@ -69,12 +69,12 @@
     }
 
     /// Applies the start or end of another box's trial.
-    pub fn apply_trial(&self, content: Fingerprint, trial: Trial, now: Moment) {
+    pub fn apply_trial(&self, fingerprint: Fingerprint, trial: Trial, now: Moment) {
         let mut ledger = self.ledger.borrow_mut();
         if trial.over {
-            ledger.end_trial(content, trial.engine);
+            ledger.end_trial(fingerprint, trial.engine);
         } else {
-            ledger.begin_trial(content, trial.engine, now);
+            ledger.begin_trial(fingerprint, trial.engine, now);
         }
     }
 }
@@ -85,29 +85,36 @@
 }
 
 /// Records that an engine crashed while it executed a request; `isolated` if the request was in an isolated trial.
-pub fn note_crash(core: &Core, content: Fingerprint, instance: &Instance, isolated: bool) {
+pub fn note_crash(core: &Core, fingerprint: Fingerprint, instance: &Instance, isolated: bool) {
     note(
         core,
-        content,
+        fingerprint,
         Evidence::from_crash(engine_name(instance), isolated),
     );
 }
 
 /// Records that an engine executed a request without a crash, if there is evidence against the request.
-pub fn note_success(core: &Core, content: Fingerprint, instance: &Instance) {
-    if core.quarantine.ledger().contains(content) {
-        note(core, content, Evidence::from_completion(engine_name(instance)));
+pub fn note_success(core: &Core, fingerprint: Fingerprint, instance: &Instance) {
+    if core.quarantine.ledger().contains(fingerprint) {
+        note(
+            core,
+            fingerprint,
+            Evidence::from_completion(engine_name(instance)),
+        );
     }
 }
 
-fn note(core: &Core, content: Fingerprint, evidence: Evidence) {
+fn note(core: &Core, fingerprint: Fingerprint, evidence: Evidence) {
     let row = Row {
-        fingerprint: content,
+        fingerprint,
         evidence,
         at: core.now(),
     };
     if apply_evidence(core, &row) {
-        core.quarantine.enqueue(EvidenceUpdate { content, trial: None });
+        core.quarantine.enqueue(EvidenceUpdate {
+            fingerprint,
+            trial: None,
+        });
     }
 }
 
@@ -120,23 +127,26 @@
     change.is_some()
 }
 
-fn log(core: &Core, content: Fingerprint, change: Change) {
+fn log(core: &Core, fingerprint: Fingerprint, change: Change) {
     if change.before == change.after {
         return;
     }
     let ledger = core.quarantine.ledger();
-    let evidence = ledger.row(content).map(|row| row.evidence).unwrap_or_default();
+    let evidence = ledger
+        .row(fingerprint)
+        .map(|row| row.evidence)
+        .unwrap_or_default();
     let (ended, well) = (evidence.crashed().count(), evidence.completed().count());
     match change.after {
         Verdict::Unsuspected => {
-            emit!(core.logger, info, event::REQUEST_CLEARED, "content" => %content, "ended" => ended, "well" => well);
+            emit!(core.logger, info, event::REQUEST_CLEARED, "content" => %fingerprint, "ended" => ended, "well" => well);
         }
         Verdict::Suspected => {
-            emit!(core.logger, warn, event::REQUEST_SUSPECTED, "content" => %content, "ended" => ended);
+            emit!(core.logger, warn, event::REQUEST_SUSPECTED, "content" => %fingerprint, "ended" => ended);
         }
         Verdict::Quarantined => {
             core.metrics.requests_quarantined.inc();
-            emit!(core.logger, warn, event::REQUEST_POISONOUS, "content" => %content, "ended" => ended,
+            emit!(core.logger, warn, event::REQUEST_POISONOUS, "content" => %fingerprint, "ended" => ended,
                 "isolated" => evidence.isolated().count());
         }
     }
@@ -145,36 +155,38 @@
 /// A running trial of a suspect request; dropping it ends the trial.
 pub struct TrialGuard {
     core: Shared,
-    content: Fingerprint,
+    fingerprint: Fingerprint,
     engine: EngineId,
 }
 
 /// Starts a trial of a suspect request at an engine.
-pub fn begin_trial(core: &Shared, content: Fingerprint, instance: &Instance) -> TrialGuard {
+pub fn begin_trial(core: &Shared, fingerprint: Fingerprint, instance: &Instance) -> TrialGuard {
     let engine = engine_name(instance);
     let now = core.now();
     core.quarantine
         .ledger
         .borrow_mut()
-        .begin_trial(content, engine, now);
+        .begin_trial(fingerprint, engine, now);
     let trial = Some(Trial { engine, over: false });
-    core.quarantine.enqueue(EvidenceUpdate { content, trial });
+    core.quarantine.enqueue(EvidenceUpdate { fingerprint, trial });
     TrialGuard {
         core: Rc::clone(core),
-        content,
+        fingerprint,
         engine,
     }
 }
 
 impl Drop for TrialGuard {
     fn drop(&mut self) {
-        let (content, engine) = (self.content, self.engine);
+        let (fingerprint, engine) = (self.fingerprint, self.engine);
         self.core
             .quarantine
             .ledger
             .borrow_mut()
-            .end_trial(content, engine);
+            .end_trial(fingerprint, engine);
         let trial = Some(Trial { engine, over: true });
-        self.core.quarantine.enqueue(EvidenceUpdate { content, trial });
+        self.core
+            .quarantine
+            .enqueue(EvidenceUpdate { fingerprint, trial });
     }
 }
