--- a/crates/jb-relay/src/cache_scan.rs
+++ b/crates/jb-relay/src/cache_scan.rs
@@ -32,8 +32,11 @@
     peers::refresh_directory(&core);
     // If no other box is listed, this is the first one, and the caches are still empty.
     let (small, listed) = {
-        let book = core.directory.borrow();
-        (book.is_small(), book.others(&core.settings.id).next().is_some())
+        let directory = core.directory.borrow();
+        (
+            directory.is_small(),
+            directory.others(&core.settings.id).next().is_some(),
+        )
     };
     if small && listed {
         for (instance, address) in engines(&core) {
--- a/crates/jb-relay/tests/relay_roles.rs
+++ b/crates/jb-relay/tests/relay_roles.rs
@@ -26,22 +26,25 @@
     (id, peer)
 }
 
-fn book(boxes: u16) -> (Directory, BTreeMap<String, Peer>) {
+fn directory(boxes: u16) -> (Directory, BTreeMap<String, Peer>) {
     let peers: BTreeMap<String, Peer> = (1..=boxes).map(peer).collect();
-    let mut book = Directory::default();
-    book.replace(peers.clone());
-    (book, peers)
+    let mut directory = Directory::default();
+    directory.replace(peers.clone());
+    (directory, peers)
 }
 
 #[test]
 fn box_with_a_high_bandwidth_link_is_the_relay_node() {
     for boxes in [10, 100, 1000, 2000] {
-        let (mut book, peers) = book(boxes);
+        let (mut directory, peers) = directory(boxes);
         // Unreachable boxes are skipped while another box with a high-bandwidth link remains.
         for _ in 0..(boxes / 10) {
-            let relay_node = book.relay_node(HALL, Moment::ZERO).expect("a relay node").clone();
+            let relay_node = directory
+                .relay_node(HALL, Moment::ZERO)
+                .expect("a relay node")
+                .clone();
             assert_eq!(peers[&relay_node].link_mbps, 200);
-            book.mark_silent(&relay_node, Moment::ZERO);
+            directory.mark_silent(&relay_node, Moment::ZERO);
         }
     }
 }
@@ -49,11 +52,11 @@
 #[test]
 fn dissemination_tree_has_bounded_depth_and_fan_out() {
     for (boxes, most_steps) in [(9, 1), (100, 3), (1000, 4), (2000, 4)] {
-        let (book, peers) = book(boxes);
+        let (directory, peers) = directory(boxes);
         let mut children: BTreeMap<SocketAddr, usize> = BTreeMap::new();
         let mut roots = 0;
         for id in peers.keys() {
-            let ancestors = book.ancestors(id, HALL);
+            let ancestors = directory.ancestors(id, HALL);
             assert!(ancestors.len() <= most_steps, "{} steps", ancestors.len());
             match ancestors.first() {
                 Some(parent) => *children.entry(*parent).or_default() += 1,
@@ -68,11 +71,11 @@
 /// Boxes that serve others are those with the highest bandwidth, as far as there are enough of them.
 #[test]
 fn boxes_with_high_bandwidth_links_relay_the_store() {
-    let (book, peers) = book(1000);
+    let (directory, peers) = directory(1000);
     let is_slow = |address: &SocketAddr| peers.values().any(|p| p.address == *address && p.link_mbps == 20);
     let parents = peers
         .keys()
-        .filter_map(|id| book.ancestors(id, HALL).first().copied());
+        .filter_map(|id| directory.ancestors(id, HALL).first().copied());
     let by_slow = parents.filter(is_slow).count();
     // The 100 boxes with fast links have 800 children.
     assert_eq!(by_slow, 1000 - 1 - 800);
@@ -81,25 +84,28 @@
 /// Guards against load totals sent to a former relay node of another hall instead of to its successor.
 #[test]
 fn acting_relay_node_of_another_hall_is_used_while_its_messages_arrive() {
-    let (book, mut peers) = book(10);
-    let preferred = book.relay_node(HALL, Moment::ZERO).expect("a relay node").clone();
+    let (directory, mut peers) = directory(10);
+    let preferred = directory
+        .relay_node(HALL, Moment::ZERO)
+        .expect("a relay node")
+        .clone();
     let (own, mut peer) = peer(11);
     peer.hall = "hall-b".to_owned();
     peers.insert(own, peer);
-    let mut book = Directory::default();
-    book.replace(peers.clone());
-    let relay_node = |book: &Directory, now| book.other_relay_nodes("hall-b", now).pop();
-    assert_eq!(relay_node(&book, Moment::ZERO).as_ref(), Some(&preferred));
+    let mut directory = Directory::default();
+    directory.replace(peers.clone());
+    let relay_node = |directory: &Directory, now| directory.other_relay_nodes("hall-b", now).pop();
+    assert_eq!(relay_node(&directory, Moment::ZERO).as_ref(), Some(&preferred));
     let successor = peers
         .keys()
         .find(|id| **id != preferred && peers[*id].hall == HALL);
     let successor = successor.expect("another box");
-    book.note_relay_node(successor, Moment::ZERO);
-    assert_eq!(relay_node(&book, Moment::ZERO).as_ref(), Some(successor));
+    directory.note_relay_node(successor, Moment::ZERO);
+    assert_eq!(relay_node(&directory, Moment::ZERO).as_ref(), Some(successor));
     let later = Moment::from_secs(2);
-    assert_eq!(relay_node(&book, later), Some(preferred));
+    assert_eq!(relay_node(&directory, later), Some(preferred));
     assert_eq!(
-        book.acting_relay_nodes("hall-b", later),
+        directory.acting_relay_nodes("hall-b", later),
         [(HALL.to_owned(), None)]
     );
 }
