--- a/crates/jb-relay/src/follow/run.rs
+++ b/crates/jb-relay/src/follow/run.rs
@@ -164,7 +164,7 @@
     let asked = core.now();
     core.metrics.store_calls.inc();
     // A stale read may be older than the remaining history.
-    let age = if progress.is_history_gone {
+    let consistency = if progress.is_history_gone {
         Consistency::Fresh
     } else {
         Consistency::Stale
@@ -172,12 +172,12 @@
     // After failed calls or a stale read, the store must respond at once: the response proves that it is available.
     let may_wait = !progress.is_stale && progress.failing.is_none();
     let wait = if may_wait { POLL_INTERVAL } else { Duration::ZERO };
-    let news = match progress.after {
+    let result = match progress.after {
         Some(after) => core.store.changes(after, wait).await,
-        None => core.store.all_items(age).await,
+        None => core.store.all_items(consistency).await,
     };
-    let stale = progress.after.is_none() && age == Consistency::Stale;
-    match news {
+    let stale = progress.after.is_none() && consistency == Consistency::Stale;
+    match result {
         Ok(ChangeBatch { changes, revision }) => {
             note_recovery(core, progress);
             apply_update(
--- a/crates/jb-relay/src/follow/start_up.rs
+++ b/crates/jb-relay/src/follow/start_up.rs
@@ -45,12 +45,12 @@
         return Some(from_store(first));
     }
     // Stale reads don't count towards the store's rate limit, but may miss boxes that start at the same time.
-    let age = if has_boxes {
+    let consistency = if has_boxes {
         Consistency::Stale
     } else {
         Consistency::Fresh
     };
-    from_boxes(core, first.revision.era, age, until).await
+    from_boxes(core, first.revision.era, consistency, until).await
 }
 
 fn from_store(page: Page) -> Update {
@@ -63,8 +63,8 @@
     }
 }
 
-async fn from_boxes(core: &Core, era: Era, age: Consistency, until: Moment) -> Option<Update> {
-    while let Err(why) = list_boxes(core, age).await {
+async fn from_boxes(core: &Core, era: Era, consistency: Consistency, until: Moment) -> Option<Update> {
+    while let Err(why) = list_boxes(core, consistency).await {
         emit!(core.logger, info, event::STORE_UPDATE_FAILED, "why" => %why);
         if core.now() > until {
             return None;
@@ -132,9 +132,9 @@
 }
 
 /// Reads the addresses of the other boxes.
-async fn list_boxes(core: &Core, age: Consistency) -> Result<(), StoreError> {
+async fn list_boxes(core: &Core, consistency: Consistency) -> Result<(), StoreError> {
     core.metrics.store_calls.inc();
-    let ChangeBatch { changes, .. } = core.store.items(peers::ADDRESS_KEY_PREFIX, age).await?;
+    let ChangeBatch { changes, .. } = core.store.items(peers::ADDRESS_KEY_PREFIX, consistency).await?;
     let mut summary = UpdateSummary::default();
     for change in changes {
         apply(core, core.store.decode(&change), change.revision, &mut summary);
