--- a/crates/jb-relay/src/peers/suspicion.rs
+++ b/crates/jb-relay/src/peers/suspicion.rs
@@ -37,14 +37,14 @@
     let mut restored = core.last_restore.get().map(|restore| restore.noticed_at);
     loop {
         let left = due.saturating_sub(core.now());
-        if let Ok(news) = timeout(left, core.quarantine.next_updates()).await {
-            let suspects = news.iter().filter_map(|news| to_suspect(&core, news));
+        if let Ok(updates) = timeout(left, core.quarantine.next_updates()).await {
+            let suspects = updates.iter().filter_map(|update| to_suspect(&core, update));
             for message in messages(suspects) {
                 broadcast(&core, &socket, &message).await;
             }
-            let quarantined = news
-                .iter()
-                .filter(|news| news.trial.is_none() && quarantine_record::is_due(&core, news.fingerprint));
+            let quarantined = updates.iter().filter(|update| {
+                update.trial.is_none() && quarantine_record::is_due(&core, update.fingerprint)
+            });
             for EvidenceUpdate { fingerprint, .. } in quarantined {
                 spawn_local(quarantine_record::write(Rc::clone(&core), *fingerprint));
             }
@@ -88,9 +88,9 @@
     next.map(|(_, peer)| peer.address).collect()
 }
 
-fn to_suspect(core: &Core, news: &EvidenceUpdate) -> Option<Suspect> {
-    let row = core.quarantine.ledger().row(news.fingerprint)?;
-    Some(suspect(core, &row, news.trial))
+fn to_suspect(core: &Core, update: &EvidenceUpdate) -> Option<Suspect> {
+    let row = core.quarantine.ledger().row(update.fingerprint)?;
+    Some(suspect(core, &row, update.trial))
 }
 
 pub(super) fn suspect(core: &Core, row: &Row, trial: Option<Trial>) -> Suspect {
--- a/crates/jb-relay/src/quarantine.rs
+++ b/crates/jb-relay/src/quarantine.rs
@@ -60,10 +60,10 @@
         self.ledger.borrow_mut().forget(now);
     }
 
-    fn enqueue(&self, news: EvidenceUpdate) {
+    fn enqueue(&self, update: EvidenceUpdate) {
         let mut queued = self.updates.borrow_mut();
-        if !queued.contains(&news) {
-            queued.push(news);
+        if !queued.contains(&update) {
+            queued.push(update);
         }
         self.wake.notify_one();
     }
