--- a/crates/jb-relay/src/cache_store.rs
+++ b/crates/jb-relay/src/cache_store.rs
@@ -47,8 +47,8 @@
 
     /// Records that an engine loads the shared segments of a prompt from the store.
     pub fn note_load(&mut self, shared: &[Segment], version: u64) {
-        let held: Vec<Segment> = self.leading(shared, version).collect();
-        self.cache.insert(held.into_iter(), 0);
+        let stored: Vec<Segment> = self.leading(shared, version).collect();
+        self.cache.insert(stored.into_iter(), 0);
     }
 
     /// Records that an engine writes the shared segments of a prompt, and `own` unshared tokens, to the store.
--- a/crates/jb-relay/src/exchange/kv_transfer.rs
+++ b/crates/jb-relay/src/exchange/kv_transfer.rs
@@ -183,20 +183,20 @@
         Some(store.address)
     }
 
-    /// Returns the address of the prefix group's cache store if the engine should write segments to it; `held` is
-    /// the number of shared tokens that the store has.
+    /// Returns the address of the prefix group's cache store if the engine should write segments to it;
+    /// `stored_tokens` is the number of shared tokens that the store has.
     fn send_to_store(
         &self,
         shared: &[Segment],
         version: Option<Version>,
         own: u64,
-        held: u64,
+        stored_tokens: u64,
     ) -> Option<SocketAddr> {
         let mut cache_stores = self.core.cache_stores.borrow_mut();
         let all = self.demand().shared_tokens();
         let store = cache_stores.for_prefix_group(self.demand().prefix_group()?)?;
         let version = version?;
-        if held >= all || own > all * MAX_OWN_PER_SHARED {
+        if stored_tokens >= all || own > all * MAX_OWN_PER_SHARED {
             return None;
         }
         store.note_store(shared.iter().copied(), version, own);
--- a/crates/jb-relay/src/leader/election.rs
+++ b/crates/jb-relay/src/leader/election.rs
@@ -15,10 +15,10 @@
     pub(super) async fn try_elect(&self) {
         let core = &self.core;
         let holder = core.box_items.borrow().get(HOLDER_KEY).cloned();
-        let held = holder.as_ref().is_some_and(|item| item.value.is_some());
+        let has_leader = holder.as_ref().is_some_and(|item| item.value.is_some());
         // If this box's own address is not listed yet, other boxes' addresses are missing as well.
         let listed = core.directory.borrow().address(&core.settings.id).is_some();
-        if held || !listed || core.state_age().is_none_or(|age| age > 2 * follow::POLL_INTERVAL) {
+        if has_leader || !listed || core.state_age().is_none_or(|age| age > 2 * follow::POLL_INTERVAL) {
             self.vacant_since.set(None);
             return;
         }
--- a/crates/jb-relay/src/stop.rs
+++ b/crates/jb-relay/src/stop.rs
@@ -43,8 +43,8 @@
     }
 
     /// Sets whether the box is the leader and has to finish or hand over its term before it exits.
-    pub fn set_leading(&self, held: bool) {
-        self.leading.set(held);
+    pub fn set_leading(&self, leading: bool) {
+        self.leading.set(leading);
     }
 
     /// Returns whether the box can exit: no connection is open, and the box isn't the leader.
