--- a/crates/jb-policy/tests/quota.rs
+++ b/crates/jb-policy/tests/quota.rs
@@ -150,11 +150,11 @@
         let (until, left) = &mut batches[request.at_box];
         if request.at > *until || *left < request.tokens {
             let ahead = request.tokens.max((rate * BATCH_S * 4.0 / BOXES as f64) as u64);
-            let wanted = Charge {
+            let charge = Charge {
                 tokens: ahead,
                 urgent: true,
             };
-            if bucket.take(&parameters, wanted, moment(request.at)).is_err() {
+            if bucket.take(&parameters, charge, moment(request.at)).is_err() {
                 continue;
             }
             (*until, *left) = (request.at + BATCH_S, ahead);
@@ -344,15 +344,15 @@
     let parameters = parameters(29_000.0, 1.0);
     let now = WINDOW * 2;
     let mut bucket = Bucket::new(&parameters, Some(0.0), now);
-    let wanted = Charge {
+    let charge = Charge {
         tokens: LONG,
         urgent: true,
     };
     let after = bucket
-        .take(&parameters, wanted, now)
+        .take(&parameters, charge, now)
         .expect_err("the bucket is empty");
-    assert!(bucket.take(&parameters, wanted, now + after / 2).is_err());
-    assert!(bucket.take(&parameters, wanted, now + after).is_ok());
+    assert!(bucket.take(&parameters, charge, now + after / 2).is_err());
+    assert!(bucket.take(&parameters, charge, now + after).is_ok());
 }
 
 /// Guards against a bucket that admits no more than its rate and rejects a customer that is slightly over it.
