--- a/crates/jb-policy/src/route/pool.rs
+++ b/crates/jb-policy/src/route/pool.rs
@@ -201,7 +201,7 @@
         };
         Weighing {
             candidates: scores.into_iter().map(show).collect(),
-            left_out: self.upstreams.iter().filter_map(|u| u.left_out(now)).collect(),
+            left_out: self.upstreams.iter().filter_map(|u| u.exclusion(now)).collect(),
         }
     }
 
--- a/crates/jb-policy/src/upstream.rs
+++ b/crates/jb-policy/src/upstream.rs
@@ -129,7 +129,7 @@
     }
 
     /// Returns why it receives no requests, for operators; `None` if it does receive them.
-    pub fn left_out(&self, now: Moment) -> Option<LeftOut> {
+    pub fn exclusion(&self, now: Moment) -> Option<LeftOut> {
         let obstacles = [
             (self.drain.by_tree, Obstacle::LeavesByTree, None),
             (self.drain.by_list, Obstacle::LeavesByList, None),
--- a/crates/jb-policy/tests/signal.rs
+++ b/crates/jb-policy/tests/signal.rs
@@ -160,22 +160,22 @@
 #[test]
 fn obstacle_of_an_unavailable_upstream_is_reported_with_its_remaining_time() {
     let mut upstream = upstream();
-    assert_eq!(upstream.left_out(NOW), None);
+    assert_eq!(upstream.exclusion(NOW), None);
     upstream.apply_signals(backoff_of(Duration::from_secs(3)), NOW, NOW);
     let backoff = upstream
-        .left_out(NOW + Duration::from_secs(1))
+        .exclusion(NOW + Duration::from_secs(1))
         .expect("unavailable");
     assert_eq!(
         (backoff.obstacle, backoff.for_ms),
         (Obstacle::Backoff, Some(2000))
     );
     upstream.apply_signals(DRAINING, NOW, NOW);
-    let draining = upstream.left_out(NOW).expect("unavailable");
+    let draining = upstream.exclusion(NOW).expect("unavailable");
     assert_eq!(
         (draining.obstacle, draining.for_ms),
         (Obstacle::LeavesByAnswer, Some(600_000))
     );
     upstream.drain.by_tree = true;
-    let tree = upstream.left_out(NOW).expect("unavailable");
+    let tree = upstream.exclusion(NOW).expect("unavailable");
     assert_eq!((tree.obstacle, tree.for_ms), (Obstacle::LeavesByTree, None));
 }
