--- a/crates/jb-cli/src/command/tree/export.rs
+++ b/crates/jb-cli/src/command/tree/export.rs
@@ -6,7 +6,7 @@
 use crate::command::{Context, edit};
 use crate::error::Error;
 
-/// Start of the comment line that tells `import` from which revision the document was exported.
+/// Start of the comment line from which `import` reads the revision of the exported document.
 pub const REVISION_LINE: &str = "# revision ";
 
 /// Print the tree in force as a TOML document.
--- a/crates/jb-daemon/src/decide/message.rs
+++ b/crates/jb-daemon/src/decide/message.rs
@@ -128,11 +128,11 @@
     Draining(Vec<id::Upstream>),
     /// Number of boxes among which the hall's callers are spread.
     Boxes(u32),
-    /// Requests the state of every service in the own hall.
+    /// Requests the state of every service in the local hall.
     Summarize(oneshot::Sender<Vec<ServiceSummary>>),
 }
 
-/// State of one service in the own hall.
+/// State of one service in the local hall.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceSummary {
     /// Service that the summary describes.
--- a/crates/jb-daemon/src/decide/ring.rs
+++ b/crates/jb-daemon/src/decide/ring.rs
@@ -139,7 +139,7 @@
         answer.await.map_err(|_| Full)
     }
 
-    /// Returns the state of every service in the own hall.
+    /// Returns the state of every service in the local hall.
     ///
     /// # Errors
     /// [`Full`].
--- a/crates/jb-daemon/src/follow/platform.rs
+++ b/crates/jb-daemon/src/follow/platform.rs
@@ -61,7 +61,7 @@
             .await?
         {
             Some(value) => Some(value),
-            // Either nothing has changed or the value was deleted; only a read tells which.
+            // Either nothing has changed or the value was deleted; a read is needed to distinguish the two.
             None => return reread(context, known_version).await,
         }
     };
--- a/crates/jb-daemon/src/run/attempt.rs
+++ b/crates/jb-daemon/src/run/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a request: at an engine of the own hall, or relayed by another box.
+//! One attempt at a request: at an engine of the local hall, or relayed by another box.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -106,7 +106,7 @@
 
 /// One attempt.
 pub enum Attempt {
-    /// At an engine of the own hall.
+    /// At an engine of the local hall.
     Engine(Box<EngineAttempt>),
     /// Relayed by another box.
     Peer(Box<PeerAttempt>),
--- a/crates/jb-daemon/src/run/session/isolation.rs
+++ b/crates/jb-daemon/src/run/session/isolation.rs
@@ -10,7 +10,7 @@
 use crate::quarantine;
 use crate::run::attempt::{Attempt, AttemptError};
 
-/// Maximum number of neighbouring engines to probe when an engine is unreachable, to tell a crash from a
+/// Maximum number of neighbouring engines to probe when an engine is unreachable, to distinguish a crash from a
 /// network failure.
 const MAX_NEIGHBOURS: usize = 16;
 
--- a/crates/jb-daemon/src/run/session/mod.rs
+++ b/crates/jb-daemon/src/run/session/mod.rs
@@ -74,7 +74,7 @@
     refused: Option<NoTarget>,
     /// Whether an attempt was lost. Only then is the next attempt charged to the retry budget.
     lost_before: bool,
-    /// Engine of the last attempt in the own hall.
+    /// Engine of the last attempt in the local hall.
     last_engine: Option<LastEngine>,
     /// Engine on which the request runs as the only suspect.
     trial: Option<EngineId>,
--- a/crates/jb-daemon/src/run/session/send.rs
+++ b/crates/jb-daemon/src/run/session/send.rs
@@ -1,4 +1,4 @@
-//! Sends a request to an engine of the own hall or to another box.
+//! Sends a request to an engine of the local hall or to another box.
 
 use std::sync::Arc;
 
--- a/crates/jb-policy/src/customer_limit.rs
+++ b/crates/jb-policy/src/customer_limit.rs
@@ -20,7 +20,7 @@
 /// A limit that a request exceeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Exceeded {
-    /// Kind of error, which tells the limit.
+    /// Kind of error, which names the exceeded limit.
     pub kind: Kind,
     /// Time after which the request would be admitted if no other request arrived.
     pub retry_after: Duration,
--- a/crates/jb-policy/src/hall_reachability.rs
+++ b/crates/jb-policy/src/hall_reachability.rs
@@ -2,7 +2,7 @@
 //!
 //! Connections to a partitioned hall time out instead of being refused, so each attempt costs a request the
 //! full connection timeout, and there are too many upstreams to detect it for each. Timeouts therefore apply
-//! to the whole hall for a while, and timeouts of several halls at the same time mean that the own hall is
+//! to the whole hall for a while, and timeouts of several halls at the same time mean that the local hall is
 //! partitioned.
 
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
 const FIRST_PAUSE: Duration = Duration::from_secs(1);
 /// Longest duration for which a hall is avoided without a further timeout.
 const MAX_PAUSE: Duration = Duration::from_secs(4);
-/// Number of halls with timeouts at which the own hall counts as partitioned.
+/// Number of halls with timeouts at which the local hall counts as partitioned.
 const PARTITION_THRESHOLD: usize = 2;
 
 /// Halls that requests avoid if others can serve them.
@@ -27,7 +27,7 @@
     None,
     /// These halls.
     Halls(Vec<id::Hall>),
-    /// All halls except the own one.
+    /// All halls except the local one.
     Others,
 }
 
@@ -103,7 +103,7 @@
         self.timeouts.insert(hall.to_owned(), timeouts);
     }
 
-    /// Notes that another hall responded, which shows that the own hall isn't partitioned.
+    /// Notes that another hall responded, which shows that the local hall isn't partitioned.
     pub fn note_answer(&mut self, hall: &str, now: Moment) {
         self.last_answer = Some(now);
         self.timeouts.remove(hall);
@@ -114,7 +114,7 @@
         self.timeouts.is_empty()
     }
 
-    /// Returns the halls that requests avoid; `relay_is_partitioned` tells whether the own hall's relay node
+    /// Returns the halls that requests avoid; `relay_is_partitioned` is whether the local hall's relay node
     /// reaches no other hall.
     pub fn avoided(&self, now: Moment, relay_is_partitioned: bool) -> Avoided {
         let avoided = || self.timeouts.iter().filter(|(_, timeouts)| now < timeouts.until);
--- a/crates/jb-policy/src/upstream.rs
+++ b/crates/jb-policy/src/upstream.rs
@@ -117,7 +117,7 @@
             && self.limit.permit_after(now).is_zero()
     }
 
-    /// Returns whether it accepts requests apart from its backoff and rate limit.
+    /// Returns whether it accepts requests, ignoring its backoff and rate limit.
     fn is_in_rotation(&self, now: Moment) -> bool {
         self.weights_match && !self.drain.is_draining() && now >= self.draining_until
     }
--- a/crates/jb-policy/tests/hall_reachability.rs
+++ b/crates/jb-policy/tests/hall_reachability.rs
@@ -10,7 +10,7 @@
 const OTHERS: [&str; 5] = ["hall-b", "hall-c", "hall-d", "hall-e", "hall-f"];
 const NOW: Moment = Duration::from_secs(100);
 
-/// Guards against a refusal after four consecutive connection timeouts while engines of the own hall are
+/// Guards against a refusal after four consecutive connection timeouts while engines of the local hall are
 /// free, as the engines of a prompt are spread over all halls.
 #[test]
 fn request_of_a_partitioned_hall_stays_there_after_timeouts_of_two_other_halls() {
--- a/crates/jb-policy/tests/outage.rs
+++ b/crates/jb-policy/tests/outage.rs
@@ -132,7 +132,7 @@
         let silence = up.saturating_sub(down);
         match outage::classify(partition, known, &received, TOLERATED) {
             Availability::Available => TestResult::from_bool(silence <= TOLERATED),
-            // The calls before and after the outage are up to two intervals further apart than its length.
+            // The calls before and after the outage are up to two intervals more than its length from each other.
             Availability::Unavailable => TestResult::from_bool(silence + ms(1_400) > TOLERATED),
             Availability::Unknown => TestResult::failed(),
         }
--- a/crates/jb-relay/src/core.rs
+++ b/crates/jb-relay/src/core.rs
@@ -69,7 +69,7 @@
     pub verified_at: Cell<Option<Moment>>,
     /// Like `verified_at`, without updates that other boxes passed on while this box couldn't reach the store.
     pub verified_directly_at: Cell<Option<Moment>>,
-    /// Span in which the store is known to have answered this box or others, apart from outages too short for
+    /// Span in which the store is known to have answered this box or others, except for outages too short for
     /// an entry to expire.
     pub store_uptime: Cell<Option<Span>>,
     /// Last restore of the store from a backup since this box started.
--- a/crates/jb-relay/src/peers/broadcast.rs
+++ b/crates/jb-relay/src/peers/broadcast.rs
@@ -20,7 +20,7 @@
 
 /// Age of a status up to which its box is used as a forwarder.
 const MAX_FORWARDER_AGE: Duration = Duration::from_millis(700);
-/// The same for the relay node of the own data hall: a little over two intervals of its statuses.
+/// The same for the relay node of the local data hall: a little over two intervals of its statuses.
 const MAX_RELAY_NODE_AGE: Duration = Duration::from_millis(450);
 
 /// Sends a message to all other boxes.
@@ -49,7 +49,7 @@
     others.map(|(_, peer)| peer.address).collect()
 }
 
-/// Returns the relay node of the own data hall if it has been heard from recently; `None` in a small fleet.
+/// Returns the relay node of the local data hall if it sent a status recently; `None` in a small fleet.
 fn relay_node(core: &Core) -> Option<id::Box> {
     let directory = core.directory.borrow();
     let now = core.now();
@@ -97,7 +97,7 @@
     forward_in_hall(core, socket, sender, bytes).await;
 }
 
-/// Sends a message to the other boxes of the own data hall except its sender, through some forwarders among them.
+/// Sends a message to the other boxes of the local data hall except its sender, through some forwarders among them.
 async fn forward_in_hall(core: &Core, socket: &UdpSocket, sender: Option<SocketAddr>, bytes: &[u8]) {
     let (forwarders, rest) = recipients(core, sender);
     if forwarders.is_empty() {
@@ -111,7 +111,7 @@
     }
 }
 
-/// Returns the addresses of the forwarders of the own data hall, and the short names of the other boxes.
+/// Returns the addresses of the forwarders of the local data hall, and the short names of the other boxes.
 fn recipients(core: &Core, sender: Option<SocketAddr>) -> (Vec<SocketAddr>, Vec<u32>) {
     let since = core.now().saturating_sub(MAX_FORWARDER_AGE);
     let alive: HashSet<id::Box> = core.peer_loads.borrow().members(since).into_iter().collect();
--- a/crates/jb-relay/src/peers/change_log.rs
+++ b/crates/jb-relay/src/peers/change_log.rs
@@ -21,7 +21,7 @@
     bytes: usize,
     /// Number of items in the store, and their size in bytes.
     store_size: (usize, usize),
-    /// Revision after which the log has all changes, apart from gaps.
+    /// Revision after which the log has all changes, except for gaps.
     start: Revision,
     /// Revision of the last update; the default before the first.
     revision: Revision,
--- a/crates/jb-relay/src/peers/owner.rs
+++ b/crates/jb-relay/src/peers/owner.rs
@@ -1,7 +1,7 @@
 //! Which box owns a piece of shared state, and which share of the fleet it decides for.
 //!
 //! Each piece has one owner, chosen by rendezvous hashing over the reachable boxes. If the owner does not reply in
-//! time, a box of the own data hall is queried. If that does not reply either, the asking box decides by its own
+//! time, a box of the local data hall is queried. If that does not reply either, the asking box decides by its own
 //! share.
 
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
     }
 }
 
-/// Queries `first`, the owner of the state under `key`, and then the fallback owner of the own data hall. Returns the
+/// Queries `first`, the owner of the state under `key`, and then the fallback owner of the local data hall. Returns the
 /// reply with the box that sent it, or `None` if neither replies in time.
 pub(super) async fn query<R>(
     core: &Core,
--- a/crates/jb-relay/src/peers/reachability.rs
+++ b/crates/jb-relay/src/peers/reachability.rs
@@ -35,7 +35,7 @@
 pub struct Reachability {
     /// Boxes of each other data hall by the last count of its relay node, with the time of its arrival.
     halls: BTreeMap<id::Hall, (Moment, u32)>,
-    /// Last count of the own relay node, with the time of its arrival.
+    /// Last count of the local relay node, with the time of its arrival.
     relay_node: Option<(Moment, FleetSize)>,
     statuses: u32,
 }
@@ -43,7 +43,7 @@
 /// Number of boxes that reach each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetSize {
-    /// Boxes in the own data hall.
+    /// Boxes in the local data hall.
     pub hall: u32,
     /// Boxes in all data halls.
     pub all: u32,
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Records the count of the own relay node.
+    /// Records the count of the local relay node.
     pub fn record(&mut self, fleet: FleetSize, now: Moment) {
         self.relay_node = Some((now, fleet));
     }
 
-    /// Adds the counts of the other relay nodes to the boxes of the own hall.
+    /// Adds the counts of the other relay nodes to the boxes of the local hall.
     fn sum(&self, hall: u32, now: Moment) -> FleetSize {
         let fresh = self.halls.values().filter(|(at, _)| now < *at + MAX_COUNT_AGE);
         let others: u32 = fresh.map(|(_, boxes)| boxes).sum();
@@ -159,7 +159,7 @@
     }
 }
 
-/// Returns whether there are other data halls, and the boxes of the own one reach no box of them.
+/// Returns whether there are other data halls, and the boxes of the local one reach no box of them.
 pub fn is_hall_isolated(core: &Core) -> bool {
     let fleet = fleet_size(core);
     let directory = core.directory.borrow();
--- a/crates/jb-relay/src/peers/register.rs
+++ b/crates/jb-relay/src/peers/register.rs
@@ -18,10 +18,10 @@
 pub const ADDRESS_KEY_PREFIX: &str = "junctionbend/box/";
 /// Interval at which the addresses are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Time after a write of the own address in which it isn't written again, because the next update should contain it.
+/// Time after a write of this box's address in which it isn't written again, because the next update should contain it.
 const REWRITE_INTERVAL: Duration = Duration::from_millis(2200);
 
-/// Writes the own address and data hall into the store, and again whenever the store lacks them.
+/// Writes this box's address and data hall into the store, and again whenever the store lacks them.
 pub async fn register_address(core: Shared) {
     loop {
         refresh_directory(&core);
@@ -32,7 +32,7 @@
     }
 }
 
-/// Writes the own address unless the store is known to have it, or it was written recently.
+/// Writes this box's address unless the store is known to have it, or it was written recently.
 pub async fn write_address(core: &Core, era: Era) {
     let Some(port) = core.peer_port.get() else { return };
     let written = core.address_written.get();
--- a/crates/jb-relay/src/peers/round_trip.rs
+++ b/crates/jb-relay/src/peers/round_trip.rs
@@ -1,7 +1,7 @@
 //! Round-trip times to the boxes of each data hall.
 //!
 //! The timeout of a query between boxes is a short time for the box to reply plus the round trip: between regions the
-//! round trip takes longer than a busy box of the own hall needs to reply.
+//! round trip takes longer than a busy box of the local hall needs to reply.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/crates/jb-relay/src/peers/status/loads.rs
+++ b/crates/jb-relay/src/peers/status/loads.rs
@@ -26,7 +26,7 @@
     members: Sums,
     /// Prompts of this box since its last status.
     pub(super) queued_uses: Vec<CacheUse>,
-    /// When the last status of the own relay node arrived.
+    /// When the last status of the local relay node arrived.
     pub(super) relay_node_seen: Moment,
 }
 
@@ -163,7 +163,7 @@
         received.filter_map(|received| received.store_span).collect()
     }
 
-    /// Returns when the last status of the own relay node arrived.
+    /// Returns when the last status of the local relay node arrived.
     pub(in crate::peers) fn relay_node_seen(&self) -> Moment {
         self.relay_node_seen
     }
