--- a/crates/jb-daemon/src/decide/worker.rs
+++ b/crates/jb-daemon/src/decide/worker.rs
@@ -266,7 +266,7 @@
                 service: service.clone(),
                 summary: Summary {
                     hall: self.hall.clone(),
-                    // The own hall counts as usable even when all its upstreams are ejected for failures.
+                    // The local hall counts as usable even when all its upstreams are ejected for failures.
                     usable: pool.upstreams().iter().any(|u| u.accepts_requests(now)),
                     wait_ms: u32::try_from(pool.min_wait(now).as_millis()).unwrap_or(u32::MAX),
                 },
--- a/crates/jb-policy/src/hall.rs
+++ b/crates/jb-policy/src/hall.rs
@@ -6,7 +6,7 @@
 use crate::prefix::Hash;
 use crate::rendezvous;
 
-/// Number of split points over which families are distributed; a migration share is in percent.
+/// Number of split points over which prefix families are distributed; a migration share is in percent.
 const POINTS: u64 = 100;
 
 /// State of one service in one data hall, as a box knows it.
@@ -20,7 +20,7 @@
     pub wait_ms: u32,
 }
 
-/// Returns the split point of a family, 0 to 99.
+/// Returns the split point of a prefix family, 0 to 99.
 ///
 /// A family moves to the target hall when the share exceeds its point. So a growing share never moves a family
 /// back, and all requests of a family move together.
@@ -38,7 +38,7 @@
     usable.into_iter().map(|h| h.hall.clone()).collect()
 }
 
-/// Returns the hall that the configuration tree assigns to a family; `None` if the route names no home hall.
+/// Returns the hall that the configuration tree assigns to a prefix family; `None` if the route names no home hall.
 pub fn assigned(route: &Route, family: Hash) -> Option<&str> {
     let home = route.home.as_deref()?;
     match route.target.as_deref() {
