--- a/crates/jb-cli/src/command/explain.rs
+++ b/crates/jb-cli/src/command/explain.rs
@@ -69,10 +69,10 @@
     Ok(())
 }
 
-fn excluded_row(left: &LeftOut) -> Vec<String> {
+fn excluded_row(excluded: &LeftOut) -> Vec<String> {
     vec![
-        left.upstream.clone(),
-        left.obstacle.text().to_owned(),
-        left.for_ms.map_or_else(String::new, |time| time.to_string()),
+        excluded.upstream.clone(),
+        excluded.obstacle.text().to_owned(),
+        excluded.for_ms.map_or_else(String::new, |time| time.to_string()),
     ]
 }
