--- a/crates/jb-policy/src/weights.rs
+++ b/crates/jb-policy/src/weights.rs
@@ -68,11 +68,11 @@
         true
     }
 
-    /// Merges a release time from another box: at `asked`, the version was at most `age` old.
+    /// Merges a release time from another box: at `requested_at`, the version was at most `age` old.
     ///
     /// Releases that this box has observed itself are kept.
-    pub fn merge(&mut self, version: Version, asked: Moment, age: Duration) {
-        let released = ReleaseTime::Before(asked, age);
+    pub fn merge(&mut self, version: Version, requested_at: Moment, age: Duration) {
+        let released = ReleaseTime::Before(requested_at, age);
         let newest = self.newest();
         match self.0.iter_mut().find(|release| release.version == version) {
             Some(known) if known.released == ReleaseTime::Unknown => known.released = released,
--- a/crates/jb-relay/src/follow/run.rs
+++ b/crates/jb-relay/src/follow/run.rs
@@ -161,7 +161,7 @@
         apply_update(core, progress, update);
         return;
     }
-    let asked = core.now();
+    let requested_at = core.now();
     core.metrics.store_calls.inc();
     // A stale read may be older than the remaining history.
     let consistency = if progress.is_history_gone {
@@ -188,11 +188,11 @@
                     whole: progress.after.is_none(),
                     changes,
                     revision,
-                    proven: (!stale).then_some(asked),
+                    proven: (!stale).then_some(requested_at),
                 },
             );
             if !stale {
-                sleep((asked + POLL_INTERVAL).saturating_sub(core.now())).await;
+                sleep((requested_at + POLL_INTERVAL).saturating_sub(core.now())).await;
             }
         }
         Err(why @ (StoreError::HistoryGone | StoreError::Restored)) => {
--- a/crates/jb-relay/src/leader/election.rs
+++ b/crates/jb-relay/src/leader/election.rs
@@ -42,7 +42,7 @@
 
     async fn elect(&self) -> Result<(), StoreError> {
         let core = &self.core;
-        let asked = core.now();
+        let requested_at = core.now();
         core.metrics.store_calls.inc();
         let lease = core.store.grant_lease(LEASE_TTL).await?;
         let era = core.era();
@@ -79,8 +79,8 @@
         self.term.set(Some(Term {
             lease,
             fence,
-            orders_until: asked + LEASE_TTL - LEASE_MARGIN,
-            renewed: asked,
+            orders_until: requested_at + LEASE_TTL - LEASE_MARGIN,
+            renewed: requested_at,
             record_revision: fence,
             is_announced: true,
         }));
--- a/crates/jb-relay/src/peers/message/releases.rs
+++ b/crates/jb-relay/src/peers/message/releases.rs
@@ -6,14 +6,14 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct QueryReleases {
     /// Time of the query by the sender's clock, in milliseconds; the reply repeats it.
-    pub asked_ms: u64,
+    pub requested_at_ms: u64,
 }
 
 /// Answers [`QueryReleases`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(in crate::peers) struct Releases {
     /// Time of the query by the clock of the box that sent it, in milliseconds.
-    pub asked_ms: u64,
+    pub requested_at_ms: u64,
     /// Releases that the sender knows.
     pub releases: Vec<Release>,
 }
--- a/crates/jb-relay/src/peers/releases.rs
+++ b/crates/jb-relay/src/peers/releases.rs
@@ -41,13 +41,13 @@
             continue;
         }
         queries += 1;
-        let asked_ms = u64::try_from(core.now().as_millis()).unwrap_or_default();
+        let requested_at_ms = u64::try_from(core.now().as_millis()).unwrap_or_default();
         for address in others {
             send(
                 &core,
                 &socket,
                 address,
-                &Message::QueryReleases(QueryReleases { asked_ms }),
+                &Message::QueryReleases(QueryReleases { requested_at_ms }),
             )
             .await;
         }
@@ -93,7 +93,7 @@
         return;
     }
     let reply = Releases {
-        asked_ms: query.asked_ms,
+        requested_at_ms: query.requested_at_ms,
         releases,
     };
     send(core, socket, from, &Message::Releases(reply)).await;
@@ -101,11 +101,15 @@
 
 /// Applies a reply. Ages count from the time of the query, so a late datagram only makes them older.
 pub(super) fn receive(core: &Core, reply: Releases) {
-    let asked = Duration::from_millis(reply.asked_ms).min(core.now());
+    let requested_at = Duration::from_millis(reply.requested_at_ms).min(core.now());
     let mut weights = core.weights.borrow_mut();
     for release in reply.releases {
         if let Some(history) = weights.get_mut(&release.model) {
-            history.merge(release.version, asked, Duration::from_millis(release.age_ms));
+            history.merge(
+                release.version,
+                requested_at,
+                Duration::from_millis(release.age_ms),
+            );
         }
     }
 }
