--- a/crates/jb-relay/src/cache_store.rs
+++ b/crates/jb-relay/src/cache_store.rs
@@ -47,8 +47,8 @@
 
     /// Records that an engine loads the shared segments of a prompt from the store.
     pub fn note_load(&mut self, shared: &[Segment], version: u64) {
-        let held: Vec<Segment> = self.leading(shared, version).collect();
-        self.cache.insert(held.into_iter(), 0);
+        let stored: Vec<Segment> = self.leading(shared, version).collect();
+        self.cache.insert(stored.into_iter(), 0);
     }
 
     /// Records that an engine writes the shared segments of a prompt, and `own` unshared tokens, to the store.
@@ -77,11 +77,11 @@
         }
     }
 
-    /// Returns the store of a prefix group; always the same one for the same group.
-    pub fn for_group(&mut self, group: u64) -> Option<&mut CacheStore> {
+    /// Returns the store of a prefix group; always the same one for the same prefix group.
+    pub fn for_prefix_group(&mut self, prefix_group: u64) -> Option<&mut CacheStore> {
         self.0
             .iter_mut()
-            .max_by_key(|store| rendezvous::weight(group, store.name))
+            .max_by_key(|store| rendezvous::weight(prefix_group, store.name))
     }
 
     /// Returns the store with a name.
--- a/crates/jb-relay/src/leader/election.rs
+++ b/crates/jb-relay/src/leader/election.rs
@@ -15,10 +15,10 @@
     pub(super) async fn try_elect(&self) {
         let core = &self.core;
         let holder = core.box_items.borrow().get(HOLDER_KEY).cloned();
-        let held = holder.as_ref().is_some_and(|item| item.value.is_some());
+        let has_leader = holder.as_ref().is_some_and(|item| item.value.is_some());
         // If this box's own address is not listed yet, other boxes' addresses are missing as well.
         let listed = core.directory.borrow().address(&core.settings.id).is_some();
-        if held || !listed || core.state_age().is_none_or(|age| age > 2 * follow::POLL_INTERVAL) {
+        if has_leader || !listed || core.state_age().is_none_or(|age| age > 2 * follow::POLL_INTERVAL) {
             self.vacant_since.set(None);
             return;
         }
@@ -42,7 +42,7 @@
 
     async fn elect(&self) -> Result<(), StoreError> {
         let core = &self.core;
-        let asked = core.now();
+        let requested_at = core.now();
         core.metrics.store_calls.inc();
         let lease = core.store.grant_lease(LEASE_TTL).await?;
         let era = core.era();
@@ -79,8 +79,8 @@
         self.term.set(Some(Term {
             lease,
             fence,
-            orders_until: asked + LEASE_TTL - LEASE_MARGIN,
-            renewed: asked,
+            orders_until: requested_at + LEASE_TTL - LEASE_MARGIN,
+            renewed: requested_at,
             record_revision: fence,
             is_announced: true,
         }));
