--- a/crates/jb-soak/src/restores.rs
+++ b/crates/jb-soak/src/restores.rs
@@ -32,7 +32,7 @@
     let mut pause = |range| Duration::from_millis(random.random_range(range));
     let (age, away, rewrite) = (pause(COPY_AGE_MS), pause(AWAY_MS), pause(REWRITE_MS));
     let isolates_leader = random.random_bool(0.5);
-    let copy = world.store.copy();
+    let copy = world.store.backup();
     sleep(age).await;
     world.release_weights();
     sleep(RELEASE_LEAD).await;
