--- a/crates/jb-daemon/src/run/attempt.rs
+++ b/crates/jb-daemon/src/run/attempt.rs
@@ -142,7 +142,7 @@
         let frame = match self.frames.next().await {
             Some(frame) => frame?,
             None => {
-                return Err(Failure::Lost("response stream closed before its final frame".to_owned()).into());
+                return Err(Failure::Lost("the answer stopped without an end".to_owned()).into());
             }
         };
         match self.reader.accept(frame) {
@@ -193,7 +193,7 @@
             Ok(Ok(frame)) => frame,
         };
         let Some(frame) = frame.and_then(|f| f.frame) else {
-            return Err(Failure::Lost("relayed stream closed before its final frame".to_owned()).into());
+            return Err(Failure::Lost("the other box stopped without an end".to_owned()).into());
         };
         match frame {
             Relayed::Accepted(_) => Ok(Part::Progress),
