--- a/crates/jb-relay/src/peers/suspicion.rs
+++ b/crates/jb-relay/src/peers/suspicion.rs
@@ -45,11 +45,7 @@
             let quarantined = updates.iter().filter(|update| {
                 update.trial.is_none() && quarantine_record::is_due(&core, update.fingerprint)
             });
-            for EvidenceUpdate {
-                fingerprint: fingerprint,
-                ..
-            } in quarantined
-            {
+            for EvidenceUpdate { fingerprint, .. } in quarantined {
                 spawn_local(quarantine_record::write(Rc::clone(&core), *fingerprint));
             }
             continue;
