--- a/crates/jb-scenario/src/bin/scenario.rs
+++ b/crates/jb-scenario/src/bin/scenario.rs
@@ -1,4 +1,4 @@
-//! `scenario FILE`: runs one scenario by hand.
+//! `scenario FILE`: runs one scenario from the command line.
 
 use std::path::PathBuf;
 
@@ -9,7 +9,7 @@
 /// Runs one scenario against real processes.
 #[derive(FromArgs)]
 struct Arguments {
-    /// the scenario
+    /// path of the scenario file
     #[argh(positional)]
     file: PathBuf,
 }
@@ -20,6 +20,6 @@
     let steps = parse::parse(&arguments.file.display().to_string(), &text).map_err(|e| *e)?;
     let programs = jb_fakes::fleet::build()?;
     run::run(&programs, &steps)?;
-    println!("{} holds", arguments.file.display());
+    println!("{}: all steps passed", arguments.file.display());
     Ok(())
 }
--- a/crates/jb-scenario/src/expect.rs
+++ b/crates/jb-scenario/src/expect.rs
@@ -1,4 +1,4 @@
-//! What a scenario can expect.
+//! Checks of the `expect` steps.
 
 use std::collections::BTreeMap;
 
@@ -11,39 +11,49 @@
 use miette::{ensure, miette};
 use serde_json::Value;
 
-use crate::run::{PATIENCE, Run};
+use crate::run::{CONDITION_TIMEOUT, Run};
 use crate::send::requests;
 use crate::step::{Expectation, Sending, Shape};
 
 impl Run {
-    /// Checks an expectation; what takes time is waited for.
+    /// Checks an expectation; conditions that take time are polled until the
+    /// timeout.
     pub(crate) async fn expect(&mut self, expectation: &Expectation) -> miette::Result<()> {
         match expectation {
             Expectation::Complete(group) => {
-                self.each(group, "a whole answer", |s| matches!(s, Seen::Complete { .. }))
+                self.check_each(group, "a complete answer", |s| matches!(s, Seen::Complete { .. }))
                     .await
             }
             Expectation::Refused { group, kind, outcome } => self.expect_refused(group, kind, outcome).await,
             Expectation::Answered(group) => {
-                self.each(group, "a whole answer or a refusal", |s| {
+                self.check_each(group, "a complete answer or a refusal", |s| {
                     !matches!(s, Seen::Lost(_))
                 })
                 .await
             }
             Expectation::Uncached(group) => {
-                let cached = self.cached(group).await?;
-                ensure!(cached == 0, "{cached} tokens were cached");
+                let cached = self.cached_tokens(group).await?;
+                ensure!(
+                    cached == 0,
+                    "engines found {cached} prompt tokens cached, expected none"
+                );
                 Ok(())
             }
             Expectation::Cached(group) => {
-                let cached = self.cached(group).await?;
-                ensure!(cached > 0, "no token was cached");
+                let cached = self.cached_tokens(group).await?;
+                ensure!(
+                    cached > 0,
+                    "engines found no prompt token cached, expected at least one"
+                );
                 Ok(())
             }
             Expectation::Truth(group) => self.expect_truth(group).await,
             Expectation::Unchanged(name) => {
                 let (now, before) = (self.calls(name).await?, self.notes.get(name).copied());
-                ensure!(Some(now) == before, "{now} calls, {before:?} were noted");
+                ensure!(
+                    Some(now) == before,
+                    "engine `{name}` has received {now} calls, expected the noted {before:?}"
+                );
                 Ok(())
             }
             Expectation::Revision { name, least } => self.expect_revision(name, *least).await,
@@ -61,7 +71,7 @@
             Expectation::Edited(status) => {
                 ensure!(
                     self.edited == *status,
-                    "the edit was answered with {}",
+                    "the last edit was answered with status {}, expected {status}",
                     self.edited
                 );
                 Ok(())
@@ -69,9 +79,14 @@
         }
     }
 
-    async fn each(&mut self, group: &str, what: &str, holds: impl Fn(&Seen) -> bool) -> miette::Result<()> {
+    async fn check_each(
+        &mut self,
+        group: &str,
+        what: &str,
+        holds: impl Fn(&Seen) -> bool,
+    ) -> miette::Result<()> {
         for (n, seen) in self.group(group)?.finish().await.iter().enumerate() {
-            ensure!(holds(seen), "request {n} got {seen:?}, not {what}");
+            ensure!(holds(seen), "request {n} got {seen:?}, expected {what}");
         }
         Ok(())
     }
@@ -90,10 +105,10 @@
             } => got.code() == kind && name(*ran) == outcome,
             _ => false,
         };
-        self.each(group, &what, is).await
+        self.check_each(group, &what, is).await
     }
 
-    async fn cached(&mut self, group: &str) -> miette::Result<u64> {
+    async fn cached_tokens(&mut self, group: &str) -> miette::Result<u64> {
         let seen = self.group(group)?.finish().await;
         let cached = seen.iter().map(|s| match s {
             Seen::Complete { cached_tokens, .. } => *cached_tokens,
@@ -102,7 +117,8 @@
         Ok(cached.sum())
     }
 
-    /// Runs by body; the counts of a killed service are gone with it.
+    /// Returns how often the plain services ran each request body. The counts of a
+    /// killed service are lost and are left out.
     async fn runs(&mut self) -> miette::Result<BTreeMap<String, u32>> {
         let mut all = BTreeMap::new();
         for (name, at) in self.rig.upstreams_of(PLAIN) {
@@ -144,9 +160,11 @@
 
     async fn expect_revision(&self, name: &str, least: u64) -> miette::Result<()> {
         let ports = self.rig.box_ports(name)?;
-        wait_until(&format!("`{name}` has revision {least}"), PATIENCE, || async {
-            self.rig.revision(ports).await.is_some_and(|r| r >= least)
-        })
+        wait_until(
+            &format!("`{name}` has revision {least}"),
+            CONDITION_TIMEOUT,
+            || async { self.rig.revision(ports).await.is_some_and(|r| r >= least) },
+        )
         .await
     }
 
@@ -154,7 +172,7 @@
         let operators = self.rig.box_ports(name)?.operators;
         wait_until(
             &format!("`{key}` at `{path}` is {value} at `{name}`"),
-            PATIENCE,
+            CONDITION_TIMEOUT,
             || async {
                 let shown: miette::Result<Value> = self.rig.client.get(operators, "/admin/tree").await;
                 shown.is_ok_and(|shown| shown["tree"][path][key] == *value)
@@ -166,7 +184,7 @@
     async fn expect_log(&self, name: &str, event: &str) -> miette::Result<()> {
         let process = self.rig.process(name)?;
         let quoted = format!("\"{event}\"");
-        wait_until(&format!("`{name}` logs `{event}`"), PATIENCE, || async {
+        wait_until(&format!("`{name}` logs `{event}`"), CONDITION_TIMEOUT, || async {
             !process.lines_with(&quoted).is_empty()
         })
         .await
@@ -176,7 +194,7 @@
         let at = self.rig.upstream(name)?;
         wait_until(
             &format!("`{name}` reports the weights {weights}"),
-            PATIENCE,
+            CONDITION_TIMEOUT,
             || async {
                 let report: miette::Result<Report> = self.rig.client.get(at, PATH_REPORT).await;
                 report.is_ok_and(|report| report.weights == weights)
@@ -195,18 +213,22 @@
             to: name.to_owned(),
         };
         let requests = requests(&sending);
-        wait_until(&format!("`{name}` serves `{customer}`"), PATIENCE, || async {
-            matches!(
-                load::send(&self.http, at, &requests[0]).await,
-                Seen::Complete { .. }
-            )
-        })
+        wait_until(
+            &format!("`{name}` serves `{customer}`"),
+            CONDITION_TIMEOUT,
+            || async {
+                matches!(
+                    load::send(&self.http, at, &requests[0]).await,
+                    Seen::Complete { .. }
+                )
+            },
+        )
         .await
     }
 
     async fn expect_ready(&self, name: &str) -> miette::Result<()> {
         let callers = self.rig.box_ports(name)?.callers;
-        wait_until(&format!("`{name}` is ready"), PATIENCE, || async {
+        wait_until(&format!("`{name}` is ready"), CONDITION_TIMEOUT, || async {
             let text = self.rig.client.text(callers, "/readyz").await;
             text.is_ok_and(|text| text == "ready\n")
         })
@@ -214,10 +236,10 @@
     }
 
     async fn expect_ended(&mut self, name: &str) -> miette::Result<()> {
-        let until = std::time::Instant::now() + PATIENCE;
+        let until = std::time::Instant::now() + CONDITION_TIMEOUT;
         while !self.rig.process_mut(name)?.has_ended() {
             if std::time::Instant::now() > until {
-                return Err(miette!("`{name}` has not ended"));
+                return Err(miette!("process `{name}` still runs after {CONDITION_TIMEOUT:?}"));
             }
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         }
--- a/crates/jb-scenario/src/lib.rs
+++ b/crates/jb-scenario/src/lib.rs
@@ -1,5 +1,5 @@
-//! Scripted scenarios: short text files that start real processes, break
-//! them, and say what must hold.
+//! Scripted scenarios: short text files that start real processes, inject
+//! faults and state the expected results.
 
 pub mod parse;
 pub mod run;
--- a/crates/jb-scenario/src/parse.rs
+++ b/crates/jb-scenario/src/parse.rs
@@ -1,4 +1,4 @@
-//! Reads the test language: one step a line, `#` begins a comment.
+//! Parser of the scenario language: one step per line, `#` starts a comment line.
 
 use miette::{Diagnostic, NamedSource, SourceSpan};
 use serde_json::Value;
@@ -10,10 +10,10 @@
 
 use crate::step::{Expectation, Line, Sending, Shape, Step};
 
-/// A line that is no step.
+/// A line that could not be parsed as a step.
 #[derive(Debug, ThisError, Diagnostic)]
 #[error("line {number} is no step")]
-#[diagnostic(code(scenario::step), help("CONTRIBUTING.md lists the steps"))]
+#[diagnostic(code(scenario::step), help("CONTRIBUTING.md lists the valid steps"))]
 pub struct Error {
     number: usize,
     #[source_code]
@@ -22,10 +22,10 @@
     at: SourceSpan,
 }
 
-/// Reads a scenario.
+/// Parses a scenario; `name` is the file name shown in errors.
 ///
 /// # Errors
-/// The first line that is no step.
+/// Returns the first line that is not a valid step.
 pub fn parse(name: &str, text: &str) -> Result<Vec<Line>, Box<Error>> {
     let mut steps = Vec::new();
     let mut offset = 0;
@@ -112,8 +112,9 @@
     .parse_next(input)
 }
 
-/// `start platform`, `start engine NAME in HALL unfenced`, `start box NAME in
-/// HALL linked`; the last words may be left out.
+/// Parses the arguments of `start platform`, `start engine NAME in HALL unfenced`,
+/// `start plain NAME in HALL` and `start box NAME in HALL linked`; `unfenced` and
+/// `linked` are optional.
 fn start(input: &mut &str) -> PResult<Step> {
     let what = word.parse_next(input)?;
     if what == "platform" {
@@ -130,7 +131,7 @@
     }
 }
 
-/// `send GROUP: 5 streamed as CUSTOMER to BOX`.
+/// Parses the arguments of `send GROUP: 5 streamed as CUSTOMER to BOX`.
 fn send(input: &mut &str) -> PResult<Sending> {
     let group = word
         .verify_map(|w| w.strip_suffix(':').map(str::to_owned))
@@ -153,7 +154,7 @@
     })
 }
 
-/// `resend GROUP as GROUP to BOX`.
+/// Parses the arguments of `resend GROUP as NEW_GROUP to BOX`.
 fn resend(input: &mut &str) -> PResult<Step> {
     let of = word.parse_next(input)?;
     let group = preceded((space1, key("as")), word).parse_next(input)?;
@@ -161,7 +162,7 @@
     Ok(Step::Resend { of, group, to })
 }
 
-/// `await 3 open`, `await 3 streaming`, `await GROUP`.
+/// Parses the arguments of `await 3 open`, `await 3 streaming` and `await GROUP`.
 fn awaiting(input: &mut &str) -> PResult<Step> {
     alt((
         terminated(number, (space1, "streaming")).map(|count| Step::AwaitStreaming { count }),
@@ -171,7 +172,8 @@
     .parse_next(input)
 }
 
-/// `edit BOX PATH KEY from JSON to JSON id ID`; the JSON holds no spaces.
+/// Parses the arguments of `edit BOX PATH KEY from JSON to JSON id ID`; the JSON
+/// values must not contain spaces.
 fn edit(input: &mut &str) -> PResult<Step> {
     let (name, path, setting) = (word, word, word).parse_next(input)?;
     let from = preceded((space1, key("from")), json_word).parse_next(input)?;
--- a/crates/jb-scenario/src/run.rs
+++ b/crates/jb-scenario/src/run.rs
@@ -14,34 +14,36 @@
 use crate::send::{Group, requests};
 use crate::step::{Line, Step};
 
-/// Time within which a condition must hold.
-pub const PATIENCE: Duration = Duration::from_secs(30);
-/// Metric that counts the first tokens at an entry box.
+/// Longest wait for a condition of an `await` or `expect` step.
+pub const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
+/// Metric that counts the first tokens received at an entry box.
 const FIRST_TOKENS: &str = "junctionbend_first_token_seconds_count";
-/// Customers of the usual tree.
+/// Customers in the default tree.
 const CUSTOMERS: [&str; 2] = ["ann", "bob"];
 
-/// A scenario on its way.
+/// State of a running scenario.
 pub struct Run {
-    /// The fleet.
+    /// The processes under test.
     pub rig: Rig,
-    /// Groups of requests.
+    /// Groups of requests by name.
     pub groups: BTreeMap<String, Group>,
-    /// Calls that engines had got when noted.
+    /// Calls that each engine had received at its last `note` step.
     pub notes: BTreeMap<String, u64>,
-    /// Status of the last edit.
+    /// HTTP status of the last edit; 0 before the first.
     pub edited: u16,
     /// HTTP client of the callers.
     pub http: reqwest::Client,
-    /// First tokens that boxes had got before the sends that come last.
-    before: u64,
-    sending: bool,
+    /// First tokens that the boxes had received before the latest run of
+    /// consecutive `send` and `resend` steps.
+    first_tokens_before_send: u64,
+    /// Whether the previous step was `send` or `resend`.
+    last_step_sent: bool,
 }
 
-/// Runs a scenario to its end.
+/// Runs all steps of a scenario.
 ///
 /// # Errors
-/// The first step that fails, with its line.
+/// Returns the error of the first step that fails, with its line number.
 pub fn run(programs: &Programs, steps: &[Line]) -> miette::Result<()> {
     let runtime = tokio::runtime::Runtime::new().into_diagnostic()?;
     runtime.block_on(async {
@@ -50,14 +52,14 @@
             groups: BTreeMap::new(),
             notes: BTreeMap::new(),
             edited: 0,
-            before: 0,
-            sending: false,
+            first_tokens_before_send: 0,
+            last_step_sent: false,
             http: reqwest::Client::builder().no_proxy().build().into_diagnostic()?,
         };
         for line in steps {
-            let result = run.take(&line.step).await;
+            let result = run.execute(&line.step).await;
             result
-                .wrap_err_with(|| format!("line {}: {:?}", line.number, line.step))
+                .wrap_err_with(|| format!("step at line {} failed: {:?}", line.number, line.step))
                 .inspect_err(|_| run.print_logs())?;
         }
         Ok(())
@@ -65,7 +67,7 @@
 }
 
 impl Run {
-    /// Prints what the boxes logged at warning or above, for a failed scenario.
+    /// Prints the lines that the boxes logged at level `WARN`, for a failed scenario.
     fn print_logs(&self) {
         for (name, _) in self.rig.boxes() {
             let lines = self.rig.process(name).map(|p| p.lines_with("\"level\":\"WARN\""));
@@ -75,12 +77,12 @@
         }
     }
 
-    async fn take(&mut self, step: &Step) -> miette::Result<()> {
+    async fn execute(&mut self, step: &Step) -> miette::Result<()> {
         let sends = matches!(step, Step::Send(_) | Step::Resend { .. });
-        if sends && !self.sending {
-            self.before = self.first_tokens().await;
+        if sends && !self.last_step_sent {
+            self.first_tokens_before_send = self.first_tokens().await;
         }
-        self.sending = sends;
+        self.last_step_sent = sends;
         match step {
             Step::Proves(_) | Step::When(_) => Ok(()),
             Step::StartPlatform => self.rig.start_platform(),
@@ -124,8 +126,8 @@
         }
     }
 
-    /// A linked box reaches the platform through `NAME-platform`, and others
-    /// reach it through `NAME-link`.
+    /// Starts a box. A linked box reaches the platform through the relay
+    /// `NAME-platform`, and other boxes reach it through `NAME-link`.
     async fn start_box(&mut self, name: &str, hall: &str, linked: bool) -> miette::Result<()> {
         if !linked {
             return self.rig.start_box(name, hall).await;
@@ -149,20 +151,21 @@
         Ok(())
     }
 
-    /// A group by name.
+    /// Returns the group with this name, or an error if no step has sent one.
     pub fn group(&mut self, name: &str) -> miette::Result<&mut Group> {
         self.groups
             .get_mut(name)
-            .ok_or_else(|| miette!("no group is named `{name}`"))
+            .ok_or_else(|| miette!("no earlier step sent a group named `{name}`"))
     }
 
-    /// Calls that an engine has got.
+    /// Returns the number of calls that an engine has received.
     pub async fn calls(&self, name: &str) -> miette::Result<u64> {
         let counts: EngineCounts = self.rig.client.counts(self.rig.upstream(name)?).await?;
         Ok(counts.calls)
     }
 
-    /// First tokens that the boxes that answer have got for their callers.
+    /// Returns the number of first tokens received at all boxes; a box that does
+    /// not answer counts as 0.
     async fn first_tokens(&self) -> u64 {
         let mut sum = 0;
         for (_, ports) in self.rig.boxes() {
@@ -180,12 +183,14 @@
         sum
     }
 
-    /// Waits until the entry boxes have the first tokens of this many of the
-    /// requests that were sent last.
+    /// Waits until the entry boxes have received the first token of at least this
+    /// many of the requests sent last.
     async fn await_streaming(&self, least: u64) -> miette::Result<()> {
-        wait_until(&format!("{least} calls are streaming"), PATIENCE, || async {
-            self.first_tokens().await >= self.before + least
-        })
+        wait_until(
+            &format!("{least} calls are streaming"),
+            CONDITION_TIMEOUT,
+            || async { self.first_tokens().await >= self.first_tokens_before_send + least },
+        )
         .await
     }
 
@@ -196,14 +201,18 @@
         of: impl Fn(&EngineCounts) -> u64,
     ) -> miette::Result<()> {
         let engines = self.rig.upstreams_of(ENGINES);
-        wait_until(&format!("{least} calls are {what}"), PATIENCE, || async {
-            let mut sum = 0;
-            for (_, at) in &engines {
-                let counts: miette::Result<EngineCounts> = self.rig.client.counts(*at).await;
-                sum += counts.as_ref().map_or(0, &of);
-            }
-            sum >= least
-        })
+        wait_until(
+            &format!("{least} calls are {what}"),
+            CONDITION_TIMEOUT,
+            || async {
+                let mut sum = 0;
+                for (_, at) in &engines {
+                    let counts: miette::Result<EngineCounts> = self.rig.client.counts(*at).await;
+                    sum += counts.as_ref().map_or(0, &of);
+                }
+                sum >= least
+            },
+        )
         .await
     }
 
--- a/crates/jb-scenario/src/send.rs
+++ b/crates/jb-scenario/src/send.rs
@@ -10,19 +10,21 @@
 
 use crate::step::{Sending, Shape};
 
-/// Tokens of a prompt's shared level, and of its own.
+/// Number of tokens in the prompt prefix that all requests share, and in the
+/// part that is unique to a request.
 const SHARED_TOKENS: u32 = 800;
 const OWN_TOKENS: u32 = 40;
-/// Tokens of an answer.
+/// Number of tokens in each answer.
 const ANSWER_TOKENS: u32 = 20;
-/// Seed of the prompts.
+/// Seed of the generator of prompt texts.
 const SEED: u64 = 7;
 
-/// A group: its requests, and what became of them once awaited.
+/// A named group of requests, with their results once `finish` has returned.
 pub struct Group {
-    /// The requests.
+    /// The requests, in sending order.
     pub requests: Vec<Request>,
-    /// What callers have seen.
+    /// Results as the callers saw them, in the order of `requests`; empty until
+    /// the group has finished.
     pub seen: Vec<Seen>,
     open: Vec<JoinHandle<Seen>>,
 }
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Waits until all requests have ended.
+    /// Waits until all requests have ended and returns their results.
     pub async fn finish(&mut self) -> &[Seen] {
         for open in self.open.drain(..) {
             let seen = open.await;
@@ -51,13 +53,13 @@
     }
 }
 
-/// The requests of a `send` step.
+/// Builds the requests of a `send` step.
 pub fn requests(sending: &Sending) -> Vec<Request> {
     (0..sending.count).map(|n| request(sending, n)).collect()
 }
 
-/// Prompts do not depend on the customer or the group, so that two customers
-/// send the same ones.
+/// Builds one request. Prompts do not depend on the customer or the group, so
+/// that two customers send the same ones.
 fn request(sending: &Sending, n: usize) -> Request {
     let key = format!("key-{}", sending.customer);
     if sending.shape == Shape::Once {
--- a/crates/jb-scenario/src/step.rs
+++ b/crates/jb-scenario/src/step.rs
@@ -9,7 +9,7 @@
     Whole,
     /// Chat completions answered as a stream.
     Streamed,
-    /// Calls to the plain service that may run at most once.
+    /// Calls to the plain service that must run at most once.
     Once,
 }
 
@@ -20,18 +20,18 @@
     pub group: String,
     /// Number of requests.
     pub count: usize,
-    /// How they are sent.
+    /// How the requests are sent.
     pub shape: Shape,
-    /// Customer.
+    /// Customer whose key the requests carry.
     pub customer: String,
-    /// Box.
+    /// Box that receives the requests.
     pub to: String,
 }
 
 /// What an `expect` step expects.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Expectation {
-    /// Every request of the group got its whole own answer.
+    /// Every request of the group got the complete answer to its own prompt.
     Complete(String),
     /// Every request of the group was refused with this kind and outcome.
     Refused {
@@ -42,22 +42,22 @@
         /// Outcome.
         outcome: String,
     },
-    /// Every request of the group got a whole answer or a refusal.
+    /// Every request of the group got a complete answer or a refusal.
     Answered(String),
     /// The engines found none of the group's prompts cached.
     Uncached(String),
     /// The engines found some of the group's prompts cached.
     Cached(String),
-    /// What callers of the group were told agrees with what ran, and nothing
-    /// ran twice.
+    /// The outcomes reported to the callers of the group match what the plain
+    /// services ran, and nothing ran twice.
     Truth(String),
-    /// An engine has got no call since the last `note` of it.
+    /// An engine has received no calls since its last `note` step.
     Unchanged(String),
-    /// A box has at least this revision in force.
+    /// A box applies at least this revision of the tree.
     Revision {
         /// Box.
         name: String,
-        /// Revision.
+        /// Lowest accepted revision.
         least: u64,
     },
     /// A setting has a value at a box.
@@ -78,13 +78,13 @@
         /// Name of the event.
         event: String,
     },
-    /// A box serves.
+    /// A box answers its readiness check with `ready`.
     Ready(String),
     /// An engine reports a version of the weights.
     Weights {
         /// Engine.
         name: String,
-        /// Version.
+        /// Version of the weights.
         weights: String,
     },
     /// A box answers a customer's request completely.
@@ -94,7 +94,7 @@
         /// Customer.
         customer: String,
     },
-    /// A process has ended by itself.
+    /// A process has exited.
     Ended(String),
     /// The last edit was answered with this status.
     Edited(u16),
@@ -103,9 +103,9 @@
 /// One step.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Names the promise.
+    /// Names the guarantee that the scenario tests; runs nothing.
     Proves(String),
-    /// Says in words what breaks it.
+    /// Describes the fault in words; runs nothing.
     When(String),
     /// Starts the platform.
     StartPlatform,
@@ -115,7 +115,7 @@
         name: String,
         /// Hall.
         hall: String,
-        /// Whether it takes orders with an old fencing token.
+        /// Whether the engine accepts commands with an outdated fencing token.
         unfenced: bool,
     },
     /// Starts a plain service in a hall.
@@ -131,10 +131,12 @@
         name: String,
         /// Hall.
         hall: String,
-        /// Whether relays stand before it and between it and the platform.
+        /// Whether its connections from other boxes and to the platform pass
+        /// through relays, which can be cut.
         linked: bool,
     },
-    /// Puts the usual tree in force.
+    /// Stores the default tree; waits until every box applies it and sees all
+    /// other boxes.
     Tree,
     /// Sends requests in the background.
     Send(Sending),
@@ -147,8 +149,8 @@
         /// Box.
         to: String,
     },
-    /// Waits until entry boxes have got the first token of at least this many
-    /// of the requests sent last.
+    /// Waits until the entry boxes have received the first token of at least
+    /// this many of the requests sent last.
     AwaitStreaming {
         /// Number of calls.
         count: u64,
@@ -160,28 +162,28 @@
     },
     /// Waits until a group's requests have all ended.
     AwaitGroup(String),
-    /// Switches a fault of a stand-in.
+    /// Sets a fault of a fake engine, service or platform.
     Fault {
         /// Process.
         name: String,
-        /// The fault.
+        /// Fault settings, as the fake's control interface reads them.
         fault: Value,
     },
     /// Shows an upstream as leaving in the box list.
     ListLeaving(String),
-    /// Kills a process at once.
+    /// Kills a process with SIGKILL.
     Kill(String),
-    /// Stops a process as planned.
+    /// Sends SIGTERM to a process.
     Stop(String),
-    /// Freezes a process.
+    /// Suspends a process with SIGSTOP.
     Freeze(String),
-    /// Lets a frozen process go on.
+    /// Resumes a suspended process with SIGCONT.
     Thaw(String),
-    /// Starts an ended process again.
+    /// Restarts a process that has ended.
     Restart(String),
-    /// Cuts a relay.
+    /// Cuts the connections through a relay.
     Cut(String),
-    /// Heals a cut relay.
+    /// Restores a relay that was cut.
     Heal(String),
     /// Edits one setting through a box.
     Edit {
@@ -191,20 +193,20 @@
         path: String,
         /// Setting.
         key: String,
-        /// Value that the operator believes to be set; null for none.
+        /// Value that the edit requires to be set at present; null for none.
         from: Value,
-        /// Value to set.
+        /// New value; null removes the setting.
         to: Value,
         /// Edit id.
         id: String,
     },
-    /// Remembers how many calls an engine has got.
+    /// Records how many calls an engine has received.
     Note(String),
-    /// Expects something.
+    /// Checks a condition.
     Expect(Expectation),
 }
 
-/// A step with its line.
+/// A step with its line number.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
     /// Number of the line, from 1.
