--- a/crates/jb-scenario/tests/bad_input.rs
+++ b/crates/jb-scenario/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Broken and hostile input of callers and other boxes: each gets a defined
-//! answer, and the box goes on serving.
+//! Malformed and hostile input from callers and other boxes: each gets a defined
+//! answer, and the box keeps serving.
 
 #![allow(clippy::expect_used)]
 
@@ -17,7 +17,7 @@
 
 const KEY: &str = "key-ann";
 
-/// One request and what must come back.
+/// A request and the expected response.
 struct Case {
     name: &'static str,
     path: &'static str,
@@ -137,8 +137,8 @@
         .unwrap_or_else(|e| panic!("{}: {e}", case.name));
     assert_eq!(answer.status().as_u16(), case.status, "{}", case.name);
     if case.status == 413 {
-        // The rest of the body is never read: a caller that kept the connection would lose its next
-        // request there.
+        // The rest of the body is never read, so a caller that reused the connection would lose its
+        // next request.
         let connection = answer.headers().get("connection");
         assert_eq!(
             connection.map(|value| value.as_bytes()),
@@ -155,7 +155,7 @@
     assert_eq!(document["outcome"], "not_run", "{}", case.name);
 }
 
-/// A caller that sends half a request and goes, and one that is no HTTP.
+/// Callers that send half a request and disconnect, and callers that do not speak HTTP.
 fn broken_callers(at: SocketAddr) {
     for bytes in [
         &b"POST /v1/chat/completions HTTP/1.1\r\ncontent-length: 99\r\n\r\n{"[..],
@@ -171,7 +171,7 @@
         .set_read_timeout(Some(Duration::from_secs(20)))
         .expect("a timeout");
     let mut answer = String::new();
-    // An answer or an end; either way the connection is over.
+    // The box may answer or just close; either way the connection ends.
     let _ = stream.read_to_string(&mut answer);
     assert!(
         answer.is_empty() || answer.starts_with("HTTP/1.1 400"),
@@ -179,7 +179,7 @@
     );
 }
 
-/// A caller that goes away in the middle of its stream: the engine is told.
+/// A caller that disconnects in the middle of its stream; the call at the engine must be cancelled.
 async fn vanishing_caller(rig: &Rig, at: SocketAddr) {
     let engine = rig.upstream("hall-a-engine-1").expect("an engine");
     let slow = EngineFault {
@@ -220,7 +220,7 @@
     rig.client.fault(engine, &quick).await.expect("a fault");
 }
 
-/// A box without the secret, and one with another version of the protocol.
+/// Peers without the shared secret, and peers with another protocol version; both must be refused.
 async fn broken_peers(at: SocketAddr) {
     let mut client = PeerClient::connect(format!("http://{at}"))
         .await
--- a/crates/jb-scenario/tests/client.rs
+++ b/crates/jb-scenario/tests/client.rs
@@ -1,4 +1,4 @@
-//! The operators' client against a running box.
+//! The operators' command line against a running box.
 
 #![allow(clippy::expect_used)]
 
--- a/crates/jb-scenario/tests/language.rs
+++ b/crates/jb-scenario/tests/language.rs
@@ -1,4 +1,4 @@
-//! The test language itself.
+//! Tests of the parser of the scenario language.
 
 #![allow(clippy::expect_used)]
 
@@ -6,7 +6,7 @@
 use jb_scenario::step::{Expectation, Shape, Step};
 
 #[test]
-fn steps_are_read_with_their_lines() {
+fn steps_are_parsed_with_their_line_numbers() {
     let text = "# a comment\nproves P6\n\nsend a: 3 once as ann to box-1\nexpect refused a busy not_run\n";
     let steps = parse("test", text).expect("steps");
     assert_eq!(steps.iter().map(|l| l.number).collect::<Vec<_>>(), [2, 4, 5]);
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_wrong_line_is_pointed_at() {
+fn invalid_line_is_reported_with_its_number() {
     for wrong in [
         "start rocket x in y",
         "send a: many once as ann to b",
--- a/crates/jb-scenario/tests/poison.rs
+++ b/crates/jb-scenario/tests/poison.rs
@@ -1,8 +1,9 @@
-//! A request that ends each engine that begins to run it, through the completions door.
+//! A request that crashes every engine that starts to run it, through the completions door.
 //!
-//! Seen at the opaque door: 36 engines ended under one request. How it would come about here: a lost
-//! attempt is tried again at up to five engines, and each try of the caller anew. Cause: what a box
-//! learns of a request ends with that request. Proof: without the ledger all eight engines end.
+//! Guards against one request crashing the whole fleet; at the opaque door one request crashed 36
+//! engines. A lost attempt is retried at up to five engines, and again for each retry of the caller, as
+//! long as a box forgets what it learned about a request when that request ends. Without the ledger of
+//! such requests, all eight engines crash here.
 
 #![allow(clippy::expect_used)]
 
@@ -16,13 +17,13 @@
 use jb_protocol::error::Kind;
 use jb_protocol::priority::Priority;
 
-/// Words in the prompt of the request that ends engines.
+/// Text in the prompt that makes an engine crash.
 const DEADLY: &str = "of no return";
-/// Engines that may end under one request before it is known for what it is.
+/// Number of engines that one request may crash before it is recognised.
 const MOST_ENDED: usize = 3;
-/// Engines of the fleet.
+/// Number of engines in the fleet.
 const ALL_ENGINES: usize = 8;
-const PATIENCE: Duration = Duration::from_secs(20);
+const REFUSAL_TIMEOUT: Duration = Duration::from_secs(20);
 
 async fn fleet() -> Rig {
     let programs = fleet::build().expect("the programs");
@@ -62,7 +63,7 @@
     }
 }
 
-/// Names of the engines, in the order of the list.
+/// Returns the names of the engines, in list order.
 fn engines(rig: &Rig) -> Vec<String> {
     let engines = rig.upstreams_of(ENGINES);
     engines.into_iter().map(|(name, _)| name).collect()
@@ -74,7 +75,7 @@
     names.iter().filter(|name| has_ended(name)).count()
 }
 
-/// Sends a request six times, to the boxes in turn; it is never served.
+/// Sends a request six times, to the boxes in turn, and checks that it is never served.
 async fn send_to_all(http: &reqwest::Client, boxes: &[SocketAddr], deadly: &Request) {
     for at in boxes.iter().cycle().take(6) {
         let seen = load::send(http, *at, deadly).await;
@@ -90,9 +91,10 @@
     let deadly = chat("ann", DEADLY);
     send_to_all(&http, &boxes, &deadly).await;
     assert_eq!(ended(&mut rig), MOST_ENDED);
-    // Known everywhere, it is refused without an engine, in a way that libraries do not repeat.
+    // Every box now recognises the request and refuses it without calling an engine, with an error
+    // that client libraries do not retry.
     for at in &boxes {
-        wait_until("the box knows it", PATIENCE, || async {
+        wait_until("the box knows it", REFUSAL_TIMEOUT, || async {
             matches!(
                 load::send(&http, *at, &deadly).await,
                 Seen::Refused {
@@ -111,8 +113,8 @@
     }
 }
 
-/// Whether an engine had ended was judged by the first two others of the list alone. Where these had ended as well,
-/// under earlier requests, nothing was learned, and the request went on to end the rest.
+/// Guards against comparing a crashed engine with only the first two others of the list. If these had crashed
+/// earlier as well, nothing was learned, and the request went on to crash the rest.
 #[tokio::test(flavor = "multi_thread")]
 async fn request_that_ends_engines_is_known_where_the_first_of_the_list_have_ended_before() {
     const ENDED_BEFORE: usize = 3;
--- a/crates/jb-scenario/tests/rate_limit.rs
+++ b/crates/jb-scenario/tests/rate_limit.rs
@@ -11,13 +11,13 @@
 
 /// Requests per second that an upstream announces.
 const RATE: &str = "1.5";
-/// Requests that it may receive in any [`WINDOW`]: one and a half times the limit, and 5.
+/// Requests that an upstream may receive in any [`WINDOW`]: one and a half times the limit, and 5.
 const ALLOWED: u64 = 14;
 const WINDOW: Duration = Duration::from_secs(4);
 /// Requests through all boxes, half of which the upstream would receive.
 const COUNT: usize = 64;
 
-/// Requests that an upstream may receive from `start` on.
+/// Returns the number of requests that an upstream may have received since `start`.
 fn allowed(start: Instant) -> u64 {
     let windows = start.elapsed().as_secs() / WINDOW.as_secs() + 1;
     ALLOWED * windows
--- a/crates/jb-scenario/tests/scenarios.rs
+++ b/crates/jb-scenario/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Every file under `scenarios` is a test of its own.
+//! Runs every file under `scenarios` as a separate test.
 
 use std::path::{Path, PathBuf};
 
@@ -6,12 +6,12 @@
 use jb_scenario::{parse, run};
 use libtest_mimic::{Arguments, Failed, Trial};
 
-/// Scenarios that run at the same time; each starts about ten processes.
-const AT_ONCE: usize = 3;
+/// Number of scenarios that run at the same time; each starts about ten processes.
+const MAX_PARALLEL_SCENARIOS: usize = 3;
 
 fn main() {
     let mut arguments = Arguments::from_args();
-    arguments.test_threads.get_or_insert(AT_ONCE);
+    arguments.test_threads.get_or_insert(MAX_PARALLEL_SCENARIOS);
     let listing = arguments.list;
     let programs = if listing { None } else { fleet::build().ok() };
     let trials = files()
@@ -35,12 +35,12 @@
         .file_stem()
         .map_or_else(String::new, |s| s.to_string_lossy().into_owned());
     Trial::test(name, move || {
-        let programs = programs.ok_or("the programs could not be built")?;
-        hold(&file, &programs).map_err(|report| Failed::from(format!("{report:?}")))
+        let programs = programs.ok_or("the programs of the fleet could not be built")?;
+        run_file(&file, &programs).map_err(|report| Failed::from(format!("{report:?}")))
     })
 }
 
-fn hold(file: &Path, programs: &Programs) -> miette::Result<()> {
+fn run_file(file: &Path, programs: &Programs) -> miette::Result<()> {
     let text = std::fs::read_to_string(file).map_err(|e| miette::miette!("{e}"))?;
     let steps = parse::parse(&file.display().to_string(), &text).map_err(|e| *e)?;
     run::run(programs, &steps)
--- a/crates/jb-scenario/tests/signals.rs
+++ b/crates/jb-scenario/tests/signals.rs
@@ -1,10 +1,9 @@
-//! What upstreams say of themselves in their answers, through the completions door.
+//! Signals that upstreams give in their responses, through the completions door.
 //!
-//! Seen at the opaque door: engines that said in each answer that they leave, or that they want rest,
-//! got requests all the same. How it would come about here: an engine's report tells that it leaves, and
-//! nothing else is read; a refusal makes a pause of a second, whatever it asks for; a plain service has
-//! no report at all. Cause: what an upstream says in an answer is not read. Proof: with a report that
-//! hides the leaving, and with a rest of a minute, calls go on as before.
+//! Guards against boxes that ignore these signals and keep sending to an upstream that says it is
+//! leaving or asks for a rest. This happens when only an engine's report is read for the leaving state,
+//! and every refusal causes a backoff of one second whatever it asks for; a plain service has no report
+//! at all. The tests therefore use a report that hides the leaving state, and a rest of one minute.
 
 #![allow(clippy::expect_used)]
 
@@ -17,10 +16,10 @@
 use support::{World, chat, order};
 use tokio::time::sleep;
 
-/// Requests after the word.
-const LATER: usize = 24;
-/// Longer than the pause after a refusal that asks for nothing.
-const AFTER_A_PAUSE: Duration = Duration::from_millis(1100);
+/// Number of requests in each batch.
+const BATCH: usize = 24;
+/// Longer than the backoff after a refusal that asks for no rest.
+const LONGER_THAN_BACKOFF: Duration = Duration::from_millis(1100);
 
 #[tokio::test(flavor = "multi_thread")]
 async fn upstream_behind_the_completions_door_that_says_it_leaves_gets_nothing_more() {
@@ -39,12 +38,12 @@
             ..PlainFault::default()
         })
         .await;
-    world.ask("first", LATER, chat).await;
-    world.ask("first", LATER, order).await;
+    world.ask("first", BATCH, chat).await;
+    world.ask("first", BATCH, order).await;
     let before = (world.engine().await, world.plain().await);
     assert!(before.0.0 > 0 && before.1.0 > 0, "each has answered: {before:?}");
-    world.ask("later", LATER, chat).await;
-    world.ask("later", LATER, order).await;
+    world.ask("later", BATCH, chat).await;
+    world.ask("later", BATCH, order).await;
     assert_eq!((world.engine().await, world.plain().await), before);
 }
 
@@ -64,9 +63,9 @@
         })
         .await;
     for round in 0..3 {
-        world.ask(&format!("round {round}"), LATER, chat).await;
-        world.ask(&format!("round {round}"), LATER, order).await;
-        sleep(AFTER_A_PAUSE).await;
+        world.ask(&format!("round {round}"), BATCH, chat).await;
+        world.ask(&format!("round {round}"), BATCH, order).await;
+        sleep(LONGER_THAN_BACKOFF).await;
     }
     assert_eq!((world.engine().await.1, world.plain().await.1), (1, 1));
     let left_out = world.left_out().await;
--- a/crates/jb-scenario/tests/support/mod.rs
+++ b/crates/jb-scenario/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes before two engines and two plain services.
+//! Starts a fleet of real processes in front of two engines and two plain services.
 
 #![allow(dead_code, clippy::expect_used)]
 
@@ -9,7 +9,7 @@
 use jb_protocol::admin::{Explanation, LeftOut, Question};
 use jb_protocol::priority::Priority;
 
-/// Times that a text is repeated, to be longer than the first block of a prompt.
+/// Number of repetitions that make a text longer than the first block of a prompt.
 const BLOCKS: usize = 20;
 
 async fn fleet(boxes: usize) -> Rig {
@@ -28,7 +28,8 @@
         .expect("a fleet")
 }
 
-/// A prompt of some blocks that shares nothing with those of other texts, so all engines get some.
+/// Builds a chat whose prompt has several blocks and shares none with other texts, so that requests spread
+/// over all engines.
 pub fn chat(text: &str) -> Request {
     let levels = [format!("{text}, ").repeat(BLOCKS)];
     Request {
@@ -41,7 +42,7 @@
     }
 }
 
-/// A call to the plain service that may run once.
+/// Builds a call to the plain service that must run at most once.
 pub fn order(text: &str) -> Request {
     Request {
         key: "key-ann".to_owned(),
@@ -53,7 +54,7 @@
     }
 }
 
-/// A fleet and the clients of its callers and operators.
+/// A fleet with HTTP clients for its callers and operators.
 pub struct World {
     pub rig: Rig,
     client: Client,
@@ -61,7 +62,7 @@
 }
 
 impl World {
-    /// Starts a fleet of so many boxes before two engines and two plain services.
+    /// Starts a fleet of `boxes` boxes in front of two engines and two plain services.
     pub async fn new(boxes: usize) -> Self {
         Self {
             rig: fleet(boxes).await,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Sends so many requests to the boxes in turn, each with a text of its own; all are served.
+    /// Sends `count` requests to the boxes in turn, each with a unique text, and checks that all are served.
     pub async fn ask(&self, name: &str, count: usize, request: fn(&str) -> Request) {
         let boxes: Vec<_> = self.rig.boxes().map(|(_, ports)| ports.callers).collect();
         for (number, at) in boxes.iter().cycle().take(count).enumerate() {
@@ -80,21 +81,21 @@
         }
     }
 
-    /// Calls that the first engine has run, and those that it has turned away.
+    /// Returns the numbers of calls that the first engine has run and has refused.
     pub async fn engine(&self) -> (u64, u64) {
         let (_, address) = &self.rig.upstreams_of(ENGINES)[0];
         let counts: EngineCounts = self.client.counts(*address).await.expect("counts");
         (counts.calls, counts.refused)
     }
 
-    /// The same of the first plain service.
+    /// Returns the numbers of calls that the first plain service has run and has refused.
     pub async fn plain(&self) -> (u64, u64) {
         let (_, address) = &self.rig.upstreams_of(PLAIN)[0];
         let counts: PlainCounts = self.client.counts(*address).await.expect("counts");
         (counts.runs.len() as u64, counts.refused)
     }
 
-    /// Engines that the box sends nothing to, as operators are told.
+    /// Returns the engines that the first box excludes, as `/admin/explain` reports them.
     pub async fn left_out(&self) -> Vec<LeftOut> {
         let (_, ports) = self.rig.boxes().next().expect("a box");
         let question = Question {
--- a/crates/jb-scenario/tests/together.rs
+++ b/crates/jb-scenario/tests/together.rs
@@ -1,6 +1,6 @@
-//! Everything at once, twice: seeded random orders of faults under load.
-//! Only the promises are asserted. A seed that fails is printed; give it with
-//! `JB_SEED` to run it alone, and write it down as a scenario.
+//! Random sequences of faults under load, one for each of two seeds.
+//! Only the guarantees P2 to P6 and P9 are asserted. Each seed is printed; set
+//! `JB_SEED` to run a failing one alone, and add a scenario for the failure.
 
 #![allow(clippy::expect_used)]
 
@@ -21,9 +21,10 @@
 
 const SEEDS: [u64; 2] = [1, 2];
 const FAULTS: usize = 8;
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Callers use these boxes; the others are killed and frozen.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Boxes that callers and operators use; they are never killed or frozen.
 const ENTRIES: [&str; 2] = ["hall-a-box-1", "hall-b-box-1"];
+/// Boxes that are killed and frozen.
 const VICTIMS: [&str; 2] = ["hall-a-box-2", "hall-b-box-2"];
 
 struct Sent {
@@ -89,7 +90,7 @@
         self.sent.push(Sent { request, seen });
     }
 
-    /// Sends chats, and calls that run at most once through both boxes.
+    /// Sends chats through random entry boxes, and each call that must run at most once through both.
     fn load(&mut self, round: usize) {
         for n in 0..12 {
             let chat = self.chat(round * 12 + n);
@@ -174,7 +175,7 @@
         self.rig.client.fault(at, &fault).await.expect("a fault");
     }
 
-    /// Raises a limit; the number goes up only when the edit was accepted.
+    /// Raises a limit; `self.limit` increases only if the edit was accepted.
     async fn edit(&mut self, through: &str) {
         let from = (self.limit > 0).then(|| json!(self.limit + 1000));
         let next = self.limit + 1;
@@ -249,14 +250,14 @@
         all
     }
 
-    /// With every fault over, all boxes serve and agree on the newest tree.
+    /// Checks that all boxes serve and agree on the newest tree once no fault is active.
     async fn check_end(&mut self) {
         let chat = self.chat(0);
         let names: Vec<String> = self.rig.boxes().map(|(name, _)| name.to_owned()).collect();
         for name in names {
             let ports = self.rig.box_ports(&name).expect("a box");
             let serves = format!("P3: `{name}` serves");
-            let served = wait_until(&serves, PATIENCE, || async {
+            let served = wait_until(&serves, RECOVERY_TIMEOUT, || async {
                 matches!(
                     load::send(&self.http, ports.callers, &chat).await,
                     Seen::Complete { .. }
@@ -265,11 +266,11 @@
             served.await.expect("it serves");
             let limit = self.limit + 1000;
             let follows = format!("P9: `{name}` has the limit {limit}");
-            let agreed = wait_until(&follows, PATIENCE, || async {
+            let agreed = wait_until(&follows, RECOVERY_TIMEOUT, || async {
                 let shown: miette::Result<serde_json::Value> =
                     self.rig.client.get(ports.operators, "/admin/tree").await;
                 let value = shown.map(|s| s["tree"]["/customers/ann"]["max_concurrent"].as_u64());
-                // An edit whose answer was lost for good may be in force too.
+                // An edit whose answer was lost permanently may have been applied too.
                 value.is_ok_and(|v| v.unwrap_or(1000) >= u64::from(limit))
             });
             agreed.await.expect("it agrees");
--- a/crates/jb-scenario/tests/traces.rs
+++ b/crates/jb-scenario/tests/traces.rs
@@ -1,4 +1,4 @@
-//! Traces: one span for each hop, joined across boxes.
+//! Traces: one span per hop, linked across boxes.
 
 #![allow(clippy::expect_used)]
 
@@ -50,7 +50,7 @@
         spans().await.len() >= 4
     });
     enough.await.expect("spans");
-    // Caller -> request at box-1 -> attempt -> relay at box-2 -> attempt at the engine.
+    // Expected chain of spans: caller -> request at box-1 -> attempt -> relay at box-2 -> attempt at the engine.
     let spans = spans().await;
     let mut parent = CALLER.to_owned();
     for (name, box_id) in [
