--- a/crates/jb-fakes/src/fleet/build.rs
+++ b/crates/jb-fakes/src/fleet/build.rs
@@ -1,4 +1,4 @@
-//! Finds the programs, building them first.
+//! Builds the programs that a fleet runs and returns their paths.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -8,18 +8,18 @@
 /// Paths of the programs that a fleet starts.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// The daemon.
+    /// Path of `junctionbendd`.
     pub daemon: PathBuf,
-    /// The stand-ins.
+    /// Path of `jb-fakes`, which runs the stand-ins.
     pub fakes: PathBuf,
-    /// The operators' client.
+    /// Path of `junctionbend`, the operators' command line.
     pub client: PathBuf,
 }
 
-/// Builds the programs in the profile of the running one, and finds them.
+/// Builds the programs in the Cargo profile of the running executable and returns their paths.
 ///
 /// # Errors
-/// When the build fails.
+/// Returns an error when `cargo build` fails.
 pub fn build() -> miette::Result<Programs> {
     let folder = target_folder()?;
     let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
@@ -42,7 +42,7 @@
     }
     let status = command.status().into_diagnostic()?;
     if !status.success() {
-        return Err(miette!("the programs could not be built"));
+        return Err(miette!("cargo build of the fleet's programs failed: {status}"));
     }
     Ok(Programs {
         daemon: folder.join("junctionbendd"),
@@ -51,7 +51,7 @@
     })
 }
 
-/// Folder of the profile in which the running program was built.
+/// Returns the target directory of the running executable's Cargo profile.
 fn target_folder() -> miette::Result<PathBuf> {
     let program = std::env::current_exe().into_diagnostic()?;
     let folder = program.parent().unwrap_or(Path::new("."));
--- a/crates/jb-fakes/src/fleet/client.rs
+++ b/crates/jb-fakes/src/fleet/client.rs
@@ -1,4 +1,4 @@
-//! Calls to operators' ports and to the controls of the stand-ins.
+//! HTTP client for operators' ports and the control endpoints of stand-ins.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -13,15 +13,15 @@
 
 use crate::control;
 
-/// Pause between two looks at a condition.
-const LOOK: Duration = Duration::from_millis(20);
-/// Time in which one call must be answered.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Interval between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout of one HTTP request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until a condition holds.
+/// Polls a condition until it holds.
 ///
 /// # Errors
-/// When it does not within `limit`.
+/// Returns an error that names `what` when the condition does not hold within `limit`.
 pub async fn wait_until<F, W>(what: &str, limit: Duration, mut holds: W) -> miette::Result<()>
 where
     W: FnMut() -> F,
@@ -30,44 +30,47 @@
     let until = Instant::now() + limit;
     while !holds().await {
         if Instant::now() > until {
-            return Err(miette!("within {limit:?}, this did not happen: {what}"));
+            return Err(miette!("timed out after {limit:?} waiting for: {what}"));
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
 
-/// HTTP client of the tests.
+/// HTTP client for tests and the load tool.
 #[derive(Clone)]
 pub struct Client {
     http: reqwest::Client,
 }
 
 impl Client {
-    /// A client.
+    /// Creates a client that uses no proxy.
     ///
     /// # Errors
-    /// When the HTTP library cannot be set up.
+    /// Returns an error when the HTTP client cannot be built.
     pub fn new() -> miette::Result<Self> {
-        let http = reqwest::Client::builder().no_proxy().timeout(PATIENCE).build();
+        let http = reqwest::Client::builder()
+            .no_proxy()
+            .timeout(REQUEST_TIMEOUT)
+            .build();
         Ok(Self {
             http: http.into_diagnostic()?,
         })
     }
 
-    /// Reads JSON.
+    /// Sends a GET request and decodes the JSON response.
     ///
     /// # Errors
-    /// When there is no answer, or not that JSON.
+    /// Returns an error when the request fails or the body does not decode as `T`.
     pub async fn get<T: DeserializeOwned>(&self, at: SocketAddr, path: &str) -> miette::Result<T> {
         let answer = self.read(at, path).await?;
         answer.json().await.into_diagnostic()
     }
 
-    /// Reads a text.
+    /// Sends a GET request and returns the response body as text.
     ///
     /// # Errors
-    /// When there is no answer.
+    /// Returns an error when the request fails.
     pub async fn text(&self, at: SocketAddr, path: &str) -> miette::Result<String> {
         let answer = self.read(at, path).await?;
         answer.text().await.into_diagnostic()
@@ -78,10 +81,10 @@
         request.send().await.into_diagnostic()
     }
 
-    /// Posts JSON; gives the status and the answer's JSON.
+    /// Sends a POST request with a JSON body and returns the status and the JSON response.
     ///
     /// # Errors
-    /// When there is no answer.
+    /// Returns an error when the request fails.
     pub async fn post<T: Serialize + Sync>(
         &self,
         at: SocketAddr,
@@ -96,33 +99,33 @@
         })
     }
 
-    /// Switches a fault of a stand-in.
+    /// Sets faults of a stand-in.
     ///
     /// # Errors
-    /// When the stand-in does not take it.
+    /// Returns an error when the stand-in answers with a status other than 200.
     pub async fn fault<T: Serialize + Sync>(&self, at: SocketAddr, fault: &T) -> miette::Result<()> {
         let posted = self.post(at, control::PATH, fault).await?;
         if posted.status == 200 {
             return Ok(());
         }
         Err(miette!(
-            "the stand-in at {at} refused the fault: {}",
+            "stand-in at {at} rejected the fault with status {}",
             posted.status
         ))
     }
 
-    /// Counts of a stand-in.
+    /// Returns the counters of a stand-in.
     ///
     /// # Errors
-    /// When there is no answer.
+    /// Returns an error when the request fails.
     pub async fn counts<T: DeserializeOwned>(&self, at: SocketAddr) -> miette::Result<T> {
         self.get(at, control::PATH).await
     }
 
-    /// Makes `tree` the tree of the box at `operators`, by one edit.
+    /// Replaces the settings tree by `tree` in one edit, sent to the box at `operators`; returns the new revision.
     ///
     /// # Errors
-    /// When the edit is refused.
+    /// Returns an error when the edit is rejected.
     pub async fn put_tree(&self, operators: SocketAddr, id: &str, tree: &Tree) -> miette::Result<u64> {
         let shown: Value = self.get(operators, "/admin/tree").await?;
         let before: Tree = serde_json::from_value(shown["tree"].clone()).into_diagnostic()?;
@@ -133,15 +136,15 @@
         };
         let posted = self.post(operators, "/admin/edit", &edit).await?;
         let revision = posted.body["revision"].as_u64();
-        revision.ok_or_else(|| miette!("the edit was refused: {}", posted.body))
+        revision.ok_or_else(|| miette!("edit rejected: {}", posted.body))
     }
 }
 
-/// Answer to a post.
+/// Response to a POST request.
 #[derive(Clone, Debug)]
 pub struct Posted {
     /// HTTP status.
     pub status: u16,
-    /// JSON body, null where there is none.
+    /// JSON body; null when the response has no JSON body.
     pub body: Value,
 }
--- a/crates/jb-fakes/src/fleet/layout.rs
+++ b/crates/jb-fakes/src/fleet/layout.rs
@@ -1,5 +1,5 @@
-//! Whole fleets: halls with boxes, engines and plain services, and the tree
-//! of settings that goes with them.
+//! Fleet layouts: halls with boxes, engines and plain services, and the
+//! matching settings tree.
 
 use std::fmt::Write as _;
 use std::net::SocketAddr;
@@ -12,17 +12,17 @@
 use super::rig::{EngineOptions, Rig};
 use crate::load::Customer;
 
-/// Service with the model engines.
+/// Name of the service whose upstreams are model engines.
 pub const ENGINES: &str = "quill-models";
-/// Plain service.
+/// Name of the plain service.
 pub const PLAIN: &str = "post-room";
-/// Route to the engines.
+/// Name of the route to the engine service.
 pub const ROUTE: &str = "wording";
 
-/// One hall.
+/// Size of one data hall.
 #[derive(Clone, Debug)]
 pub struct Hall {
-    /// Name.
+    /// Name of the hall.
     pub name: String,
     /// Number of boxes.
     pub boxes: usize,
@@ -32,16 +32,16 @@
     pub plain: usize,
 }
 
-/// A fleet.
+/// Layout of a fleet.
 #[derive(Clone, Debug)]
 pub struct Layout {
-    /// Halls.
+    /// Data halls, in the order in which they are started.
     pub halls: Vec<Hall>,
-    /// Tokens that each engine's cache holds.
+    /// Capacity of each engine's prefix cache, in tokens.
     pub cache_tokens: u32,
-    /// Microseconds for each prompt token.
+    /// Prefill time per uncached prompt token, in microseconds.
     pub prefill_us: u64,
-    /// Whether the boxes keep the usual pace of control, as in production.
+    /// Whether the boxes use the production probe and report intervals.
     pub usual_pace: bool,
 }
 
@@ -56,21 +56,21 @@
     }
 }
 
-/// Settings of the tree that differ from run to run.
+/// Parts of the settings tree that vary between runs.
 #[derive(Clone, Debug, Default)]
 pub struct TreeOptions {
-    /// Customers.
+    /// Customers with their keys and limits.
     pub customers: Vec<Customer>,
-    /// Policy of the engines' service.
+    /// Routing policy of the engine service.
     pub policy: Policy,
-    /// Weight of recomputed tokens.
+    /// Weight of recomputed tokens in the choice of an engine.
     pub cache_weight: f64,
-    /// Further settings of the route, as TOML lines.
+    /// Additional settings of the route, as TOML lines.
     pub route: String,
 }
 
 impl TreeOptions {
-    /// Customers without limits; the key of each is `key-` and its name.
+    /// Returns options with customers that have no limits; the key of customer `id` is `key-id`.
     pub fn with_customers(names: &[&str]) -> Self {
         let customer = |id: &&str| Customer {
             id: (*id).to_owned(),
@@ -84,10 +84,10 @@
     }
 }
 
-/// Starts a fleet and puts its tree in force.
+/// Starts a fleet, applies its settings tree and waits until all boxes see each other.
 ///
 /// # Errors
-/// When a process does not start, or the tree is refused.
+/// Returns an error when a process does not start or the tree is rejected.
 pub async fn start(programs: &Programs, layout: &Layout, options: &TreeOptions) -> miette::Result<Rig> {
     let mut rig = Rig::new(programs.clone())?;
     if layout.usual_pace {
@@ -120,10 +120,10 @@
     Ok(rig)
 }
 
-/// The tree of a fleet, without its upstreams.
+/// Returns the settings tree of a fleet as TOML, without its upstreams.
 ///
 /// # Errors
-/// Never in practice: text is written to a string.
+/// Never fails in practice, because it only writes to a string.
 pub fn tree(layout: &Layout, options: &TreeOptions) -> miette::Result<String> {
     let mut text = format!(
         "[\"/services/{ENGINES}\"]\nmodel = \"quill\"\nweights = \"w1\"\npolicy = \"{}\"\n\
@@ -151,7 +151,7 @@
     Ok(text)
 }
 
-/// Callers' addresses of all boxes.
+/// Returns the caller addresses of all boxes.
 pub fn caller_addresses(rig: &Rig) -> Vec<SocketAddr> {
     rig.boxes().map(|(_, ports)| ports.callers).collect()
 }
--- a/crates/jb-fakes/src/fleet/mod.rs
+++ b/crates/jb-fakes/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Starts daemons and stand-ins as processes on loopback, and handles them.
+//! Starts daemons and stand-ins as processes on loopback and controls them.
 
 mod build;
 mod client;
--- a/crates/jb-fakes/src/fleet/process.rs
+++ b/crates/jb-fakes/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! One started process and what it prints.
+//! Child process with captured standard output.
 
 use std::io::BufReader;
 use std::path::Path;
@@ -9,8 +9,8 @@
 use miette::{IntoDiagnostic as _, miette};
 use rustix::process::{Pid, Signal, kill_process};
 
-/// Time in which an expected line must come.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Longest wait for further output while looking for an expected line.
+const OUTPUT_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[derive(Default)]
 struct Output {
@@ -18,7 +18,7 @@
     more: Condvar,
 }
 
-/// A process; it is killed when dropped.
+/// Child process that is killed when dropped.
 pub struct Process {
     name: String,
     child: Child,
@@ -26,10 +26,10 @@
 }
 
 impl Process {
-    /// Starts a program.
+    /// Starts a program and collects its standard output line by line.
     ///
     /// # Errors
-    /// When it cannot be started.
+    /// Returns an error when the process cannot be spawned.
     pub fn start(name: &str, program: &Path, arguments: &[String]) -> miette::Result<Self> {
         let mut child = Command::new(program)
             .args(arguments)
@@ -49,10 +49,12 @@
         })
     }
 
-    /// Waits for a line that `pick` accepts.
+    /// Waits for an output line that `pick` accepts and returns the picked value.
+    ///
+    /// Lines that were printed before the call are considered too.
     ///
     /// # Errors
-    /// When none comes in time.
+    /// Returns an error when the process prints nothing more for the timeout.
     pub fn wait_line<T>(&self, mut pick: impl FnMut(&str) -> Option<T>) -> miette::Result<T> {
         let mut seen = 0;
         let mut lines = self.output.lines.lock().unwrap_or_else(PoisonError::into_inner);
@@ -66,42 +68,45 @@
             let (guard, wait) = self
                 .output
                 .more
-                .wait_timeout(lines, PATIENCE)
+                .wait_timeout(lines, OUTPUT_TIMEOUT)
                 .unwrap_or_else(PoisonError::into_inner);
             lines = guard;
             if wait.timed_out() {
-                return Err(miette!("`{}` did not print what was expected", self.name));
+                return Err(miette!(
+                    "timed out waiting for an expected output line of `{}`",
+                    self.name
+                ));
             }
         }
     }
 
-    /// Lines printed that hold `text`.
+    /// Returns the output lines so far that contain `text`.
     pub fn lines_with(&self, text: &str) -> Vec<String> {
         let lines = self.output.lines.lock().unwrap_or_else(PoisonError::into_inner);
         lines.iter().filter(|line| line.contains(text)).cloned().collect()
     }
 
-    /// Kills it at once.
+    /// Kills the process with `SIGKILL` and waits for it to exit.
     ///
     /// # Errors
-    /// When the system refuses.
+    /// Returns an error when the operating system rejects the call.
     pub fn kill(&mut self) -> miette::Result<()> {
         self.child.kill().into_diagnostic()?;
         self.child.wait().into_diagnostic()?;
         Ok(())
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     ///
     /// # Errors
-    /// When the system refuses.
+    /// Returns an error when the operating system rejects the call.
     pub fn signal(&self, signal: Signal) -> miette::Result<()> {
         let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
         let pid = pid.ok_or_else(|| miette!("`{}` has no process id", self.name))?;
         kill_process(pid, signal).into_diagnostic()
     }
 
-    /// Whether it has ended.
+    /// Returns whether the process has exited.
     pub fn has_ended(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
@@ -109,7 +114,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended already.
+        // Errors are ignored: the process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/crates/jb-fakes/src/fleet/rig.rs
+++ b/crates/jb-fakes/src/fleet/rig.rs
@@ -1,4 +1,4 @@
-//! A fleet of named processes: platform, boxes, engines, plain services.
+//! Fleet of named processes: platform, boxes, engines and plain services.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -17,28 +17,28 @@
 use crate::control::PlatformFault;
 use crate::listen::Listening;
 
-/// Time in which a whole fleet must agree on a revision.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Number of the log event that gives a box's addresses.
+/// Timeout for all boxes to apply a revision or to see each other.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Number of the log event with which a box reports its listen addresses.
 const BOX_STARTED: u64 = 1001;
-/// Secret of the boxes of a fleet.
+/// Shared peer secret of all boxes of a fleet.
 const PEER_SECRET: &str = "loopback";
 
-/// Addresses of one box.
+/// Listen addresses of one box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BoxPorts {
-    /// For callers.
+    /// Address that serves callers.
     pub callers: SocketAddr,
-    /// For other boxes.
+    /// Address that serves other boxes.
     pub peers: SocketAddr,
-    /// For operators.
+    /// Address that serves operators.
     pub operators: SocketAddr,
 }
 
-/// Parameters of an engine process.
+/// Options of an engine process.
 #[derive(Clone, Debug, Default)]
 pub struct EngineOptions {
-    /// Further arguments of the stand-in.
+    /// Additional command-line arguments of the stand-in.
     pub arguments: Vec<String>,
 }
 
@@ -56,11 +56,11 @@
     arguments: Vec<String>,
 }
 
-/// A fleet.
+/// Running fleet; its processes are killed when it is dropped.
 pub struct Rig {
     programs: Programs,
     folder: tempfile::TempDir,
-    /// Calls to operators' ports and controls.
+    /// HTTP client for operators' ports and control endpoints.
     pub client: Client,
     processes: BTreeMap<String, Process>,
     boxes: BTreeMap<String, BoxRecord>,
@@ -69,17 +69,17 @@
     platform: Option<SocketAddr>,
     collector: Option<SocketAddr>,
     edits: u32,
-    pace: &'static str,
+    interval_settings: &'static str,
 }
 
-/// Settings of boxes that are quicker than usual, for short tests.
-const QUICK: &str = "probe_ms = 200\nreport_ms = 50\n";
+/// Box settings with shorter probe and report intervals than in production, for short tests.
+const SHORT_INTERVALS: &str = "probe_ms = 200\nreport_ms = 50\n";
 
 impl Rig {
-    /// An empty fleet.
+    /// Creates a fleet without processes.
     ///
     /// # Errors
-    /// When no folder for its settings can be made.
+    /// Returns an error when the temporary directory or the HTTP client cannot be created.
     pub fn new(programs: Programs) -> miette::Result<Self> {
         Ok(Self {
             programs,
@@ -92,48 +92,48 @@
             platform: None,
             collector: None,
             edits: 0,
-            pace: QUICK,
+            interval_settings: SHORT_INTERVALS,
         })
     }
 
-    /// Has boxes started from now on keep the usual pace of control.
+    /// Makes boxes started from now on use the production probe and report intervals.
     pub fn keep_usual_pace(&mut self) {
-        self.pace = "";
+        self.interval_settings = "";
     }
 
-    /// Starts the platform.
+    /// Starts the platform stand-in.
     ///
     /// # Errors
-    /// When it does not start.
+    /// Returns an error when a process does not start.
     pub fn start_platform(&mut self) -> miette::Result<()> {
         let address = self.start_fake("platform", &["platform".to_owned()])?;
         self.platform = Some(address);
         Ok(())
     }
 
-    /// Starts a collector of traces; boxes started from now on export to it.
+    /// Starts a trace collector; boxes started from now on export to it.
     ///
     /// # Errors
-    /// When it does not start.
+    /// Returns an error when a process does not start.
     pub fn start_collector(&mut self) -> miette::Result<SocketAddr> {
         let address = self.start_fake("collector", &["collector".to_owned()])?;
         self.collector = Some(address);
         Ok(address)
     }
 
-    /// Address of the platform.
+    /// Returns the address of the platform.
     ///
     /// # Errors
-    /// When it has not been started.
+    /// Returns an error when the platform has not been started.
     pub fn platform(&self) -> miette::Result<SocketAddr> {
         self.platform
             .ok_or_else(|| miette!("the platform has not been started"))
     }
 
-    /// Starts an engine of a service.
+    /// Starts an engine as an upstream of a service.
     ///
     /// # Errors
-    /// When it does not start.
+    /// Returns an error when a process does not start.
     pub fn start_engine(
         &mut self,
         name: &str,
@@ -146,10 +146,10 @@
         self.start_upstream(name, service, hall, arguments)
     }
 
-    /// Starts a plain service.
+    /// Starts an upstream of a plain service.
     ///
     /// # Errors
-    /// When it does not start.
+    /// Returns an error when a process does not start.
     pub fn start_plain(&mut self, name: &str, service: &str, hall: &str) -> miette::Result<()> {
         self.start_upstream(name, service, hall, vec!["plain".to_owned()])
     }
@@ -172,10 +172,10 @@
         Ok(())
     }
 
-    /// Starts a relay to an address; gives the relayed address.
+    /// Starts a TCP relay to an address and returns the address on which the relay listens.
     ///
     /// # Errors
-    /// When it does not start.
+    /// Returns an error when a process does not start.
     pub fn start_relay(&mut self, name: &str, to: SocketAddr) -> miette::Result<SocketAddr> {
         let arguments = ["relay".to_owned(), "--to".to_owned(), to.to_string()];
         let address = self.start_fake(name, &arguments)?;
@@ -194,10 +194,10 @@
         Ok(listening.listening)
     }
 
-    /// Starts a box in a hall; the boxes started before are its seeds.
+    /// Starts a box in a hall, with the boxes started earlier as its seed peers.
     ///
     /// # Errors
-    /// When it does not start.
+    /// Returns an error when a process does not start.
     pub async fn start_box(&mut self, name: &str, hall: &str) -> miette::Result<()> {
         let platform = self.platform()?;
         self.start_box_behind(name, hall, platform, false).await
@@ -207,7 +207,7 @@
     /// other boxes reach it through a relay named `NAME-link`.
     ///
     /// # Errors
-    /// When it does not start.
+    /// Returns an error when a process does not start.
     pub async fn start_box_behind(
         &mut self,
         name: &str,
@@ -227,7 +227,7 @@
             advertise: None,
         };
         if relayed {
-            // The relay needs the port before the box has it, so it is drawn here.
+            // The relay must know the port before the box binds it, so a free port is chosen here.
             record.ports.peers = free_port()?;
             record.advertise = Some(self.start_relay(&format!("{name}-link"), record.ports.peers)?);
         }
@@ -237,7 +237,7 @@
         self.list(name, hall, peers, State::Live).await
     }
 
-    /// Puts a box into the platform's box list.
+    /// Adds or updates an entry of the platform's box list.
     async fn list(&self, id: &str, hall: &str, address: SocketAddr, state: State) -> miette::Result<()> {
         let entry = Entry {
             id: id.to_owned(),
@@ -253,10 +253,10 @@
         self.client.fault(self.platform()?, &fault).await
     }
 
-    /// Shows an upstream as leaving in the platform's box list.
+    /// Marks an upstream as leaving in the platform's box list.
     ///
     /// # Errors
-    /// When there is no such upstream.
+    /// Returns an error when the upstream does not exist or the platform rejects the entry.
     pub async fn list_leaving(&self, name: &str) -> miette::Result<()> {
         let record = self.upstream_record(name)?;
         let id = format!("{}/{name}", record.service);
@@ -293,16 +293,16 @@
         if let Some(collector) = self.collector {
             writeln!(text, "traces = \"{collector}\"").into_diagnostic()?;
         }
-        writeln!(text, "peers = {seeds:?}\n{}", self.pace).into_diagnostic()?;
+        writeln!(text, "peers = {seeds:?}\n{}", self.interval_settings).into_diagnostic()?;
         let path = self.folder.path().join(format!("{name}.toml"));
         std::fs::write(&path, text).into_diagnostic()?;
         Ok(path)
     }
 
-    /// Starts a killed or stopped box or upstream again, at its old addresses.
+    /// Restarts a box or upstream at its previous addresses.
     ///
     /// # Errors
-    /// When it does not start.
+    /// Returns an error when a process does not start.
     pub fn restart(&mut self, name: &str) -> miette::Result<()> {
         self.processes.remove(name);
         if let Some(record) = self.boxes.remove(name) {
@@ -316,30 +316,30 @@
         self.start_fake(name, &arguments).map(|_| ())
     }
 
-    /// A process by name.
+    /// Returns a process by name.
     ///
     /// # Errors
-    /// When there is none.
+    /// Returns an error when the name is unknown.
     pub fn process(&self, name: &str) -> miette::Result<&Process> {
         self.processes
             .get(name)
             .ok_or_else(|| miette!("no process is named `{name}`"))
     }
 
-    /// A process by name.
+    /// Returns a process by name.
     ///
     /// # Errors
-    /// When there is none.
+    /// Returns an error when the name is unknown.
     pub fn process_mut(&mut self, name: &str) -> miette::Result<&mut Process> {
         self.processes
             .get_mut(name)
             .ok_or_else(|| miette!("no process is named `{name}`"))
     }
 
-    /// Addresses of a box.
+    /// Returns the listen addresses of a box.
     ///
     /// # Errors
-    /// When there is none of that name.
+    /// Returns an error when the name is unknown.
     pub fn box_ports(&self, name: &str) -> miette::Result<BoxPorts> {
         let record = self
             .boxes
@@ -348,31 +348,31 @@
         Ok(record.ports)
     }
 
-    /// Addresses of all boxes, by their names.
+    /// Returns the names and listen addresses of all boxes, in order of name.
     pub fn boxes(&self) -> impl Iterator<Item = (&str, BoxPorts)> {
         self.boxes
             .iter()
             .map(|(name, record)| (name.as_str(), record.ports))
     }
 
-    /// Address of an upstream.
+    /// Returns the address of an upstream.
     ///
     /// # Errors
-    /// When there is none of that name.
+    /// Returns an error when the name is unknown.
     pub fn upstream(&self, name: &str) -> miette::Result<SocketAddr> {
         Ok(self.upstream_record(name)?.address)
     }
 
-    /// Names and addresses of a service's upstreams.
+    /// Returns the names and addresses of a service's upstreams.
     pub fn upstreams_of(&self, service: &str) -> Vec<(String, SocketAddr)> {
         let of = self.upstreams.iter().filter(|(_, u)| u.service == service);
         of.map(|(name, u)| (name.clone(), u.address)).collect()
     }
 
-    /// Control address of a relay.
+    /// Returns the control address of a relay.
     ///
     /// # Errors
-    /// When there is none of that name.
+    /// Returns an error when the name is unknown.
     pub fn relay_control(&self, name: &str) -> miette::Result<SocketAddr> {
         self.relays
             .get(name)
@@ -386,10 +386,10 @@
             .ok_or_else(|| miette!("no upstream is named `{name}`"))
     }
 
-    /// The document `base` with the fleet's upstreams added.
+    /// Parses the tree document `base` with the fleet's upstreams added.
     ///
     /// # Errors
-    /// When `base` is no tree.
+    /// Returns an error when the document is not a valid settings tree.
     pub fn tree(&self, base: &str) -> miette::Result<Tree> {
         let mut text = base.to_owned();
         for (name, upstream) in &self.upstreams {
@@ -408,10 +408,10 @@
         Ok(document::read("tree", &text)?)
     }
 
-    /// Puts a tree in force at every box.
+    /// Applies a settings tree, waits until every box uses it, and returns its revision.
     ///
     /// # Errors
-    /// When it is refused, or some box does not follow.
+    /// Returns an error when the edit is rejected or a box does not apply the revision in time.
     pub async fn put_tree(&mut self, base: &str) -> miette::Result<u64> {
         let tree = self.tree(base)?;
         self.edits += 1;
@@ -426,14 +426,14 @@
         Ok(revision)
     }
 
-    /// Waits until every box has at least a revision in force.
+    /// Waits until every box has applied `revision` or a later one.
     ///
     /// # Errors
-    /// When some box does not follow.
+    /// Returns an error when a box does not apply it in time.
     pub async fn wait_revision(&self, revision: u64) -> miette::Result<()> {
         for (name, record) in &self.boxes {
-            let what = format!("`{name}` has revision {revision} in force");
-            wait_until(&what, PATIENCE, || async {
+            let what = format!("`{name}` applies revision {revision}");
+            wait_until(&what, CONVERGENCE_TIMEOUT, || async {
                 self.revision(record.ports).await.is_some_and(|r| r >= revision)
             })
             .await?;
@@ -441,24 +441,28 @@
         Ok(())
     }
 
-    /// Revision in force at a box, if it answers.
+    /// Returns the revision that a box has applied; `None` when the box does not answer.
     pub async fn revision(&self, ports: BoxPorts) -> Option<u64> {
         let status: Value = self.client.get(ports.operators, "/admin/status").await.ok()?;
         status["me"]["revision"].as_u64()
     }
 
-    /// Waits until every box sees all others.
+    /// Waits until every box sees all other boxes.
     ///
     /// # Errors
-    /// When some box does not.
+    /// Returns an error when a box does not see all others in time.
     pub async fn wait_members(&self) -> miette::Result<()> {
         let others = self.boxes.len() - 1;
         for (name, record) in &self.boxes {
             let operators = record.ports.operators;
-            wait_until(&format!("`{name}` sees all boxes"), PATIENCE, || async {
-                let status: miette::Result<Value> = self.client.get(operators, "/admin/status").await;
-                status.is_ok_and(|s| s["boxes"].as_array().map_or(0, Vec::len) >= others)
-            })
+            wait_until(
+                &format!("`{name}` sees all boxes"),
+                CONVERGENCE_TIMEOUT,
+                || async {
+                    let status: miette::Result<Value> = self.client.get(operators, "/admin/status").await;
+                    status.is_ok_and(|s| s["boxes"].as_array().map_or(0, Vec::len) >= others)
+                },
+            )
             .await?;
         }
         Ok(())
