--- a/crates/jb-fakes/src/engine/batch.rs
+++ b/crates/jb-fakes/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! The prefill queue: jobs by priority class, worked on chunk by chunk.
+//! Prefill queue: jobs are ordered by priority class and processed in chunks.
 
 use std::time::{Duration, Instant};
 
@@ -6,28 +6,28 @@
 use jb_protocol::priority::Priority;
 use tokio::sync::oneshot;
 
-/// Time after which a waiting job rises by one class, so that none starves.
+/// Waiting time after which a job is promoted by one class, to prevent starvation.
 const AGING: Duration = Duration::from_secs(1);
 
-/// Calls that generate which together halve the speed of prefill.
-const RUNNING_PER_SLOWDOWN: u64 = 64;
+/// Number of calls in decode that together halve the prefill speed.
+const DECODES_PER_HALVING: u64 = 64;
 
-/// Speed of an engine.
+/// Speed of an engine's prefill and decode.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Speed {
-    /// Microseconds for each token of a prompt that is not cached.
+    /// Prefill time per uncached prompt token, in microseconds.
     pub prefill_us: u64,
-    /// Tokens of a prompt processed in one step.
+    /// Prompt tokens processed in one prefill step.
     pub chunk_tokens: u32,
-    /// Milliseconds between two generated tokens.
+    /// Interval between two generated tokens, in milliseconds.
     pub decode_ms: u64,
 }
 
 impl Speed {
-    /// The time that a chunk takes while `running` calls generate beside it.
+    /// Returns the prefill time of a chunk while `running` calls are in decode.
     pub fn chunk(self, tokens: u32, running: u32) -> Duration {
         let alone = u64::from(tokens) * self.prefill_us;
-        let shared = alone * u64::from(running) / RUNNING_PER_SLOWDOWN;
+        let shared = alone * u64::from(running) / DECODES_PER_HALVING;
         Duration::from_micros(alone + shared)
     }
 }
@@ -42,48 +42,48 @@
     }
 }
 
-/// A prompt that waits to be processed.
+/// Prompt that waits for prefill.
 #[derive(Debug)]
 pub struct Job {
-    /// Priority class.
+    /// Priority class of the call.
     pub class: Priority,
-    /// When it came.
+    /// Time of arrival.
     pub came: Instant,
-    /// Hashes of its blocks.
+    /// Hashes of the prompt's whole blocks.
     pub hashes: Vec<u64>,
-    /// Owner of its blocks.
+    /// Owner of the blocks: hash of the salt and the weights version.
     pub owner: u64,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub tokens: u32,
-    /// Tokens still to be processed; `None` before the first step.
+    /// Tokens not yet processed; `None` before the first step.
     pub left: Option<u32>,
-    /// Tokens expected to be processed when it came.
+    /// Uncached tokens at the time of arrival.
     pub expected: u32,
-    /// Tokens found in the cache at the first step.
+    /// Tokens found cached at the first step.
     pub cached: u32,
-    /// Told the cached tokens when the prompt is processed.
+    /// Receives the number of cached tokens when prefill is complete.
     pub done: oneshot::Sender<u32>,
 }
 
 impl Job {
     fn rank(&self, now: Instant) -> (usize, Instant) {
-        let risen = (now - self.came).as_secs() / AGING.as_secs();
+        let promotions = (now - self.came).as_secs() / AGING.as_secs();
         let class = self
             .class
             .index()
-            .saturating_sub(usize::try_from(risen).unwrap_or(usize::MAX));
+            .saturating_sub(usize::try_from(promotions).unwrap_or(usize::MAX));
         (class, self.came)
     }
 }
 
-/// The queue.
+/// Prefill queue of an engine.
 #[derive(Debug, Default)]
 pub struct Queue {
     jobs: Vec<Job>,
     active: Option<Active>,
 }
 
-/// The job that is worked on: it is not in the queue, but it counts as load.
+/// Job in progress: it is not in the queue, but counts towards the load.
 #[derive(Clone, Copy, Debug)]
 struct Active {
     class: Priority,
@@ -91,12 +91,12 @@
 }
 
 impl Queue {
-    /// Adds a job.
+    /// Adds a job to the queue.
     pub fn push(&mut self, job: Job) {
         self.jobs.push(job);
     }
 
-    /// Takes the job to work on next; those whose caller has gone are dropped.
+    /// Removes and returns the job to process next; drops jobs whose caller has disconnected.
     pub fn pop(&mut self) -> Option<Job> {
         self.jobs.retain(|job| !job.done.is_closed());
         let now = Instant::now();
@@ -104,22 +104,22 @@
         Some(self.jobs.swap_remove(next))
     }
 
-    /// Notes the job that is worked on, and what is left of it.
+    /// Records the class and the remaining tokens of the job in progress.
     pub fn begin(&mut self, class: Priority, left: u32) {
         self.active = Some(Active { class, left });
     }
 
-    /// Notes that no job is worked on.
+    /// Records that no job is in progress.
     pub fn end(&mut self) {
         self.active = None;
     }
 
-    /// Forgets all jobs.
+    /// Removes all queued jobs.
     pub fn clear(&mut self) {
         self.jobs.clear();
     }
 
-    /// Work that waits.
+    /// Returns the load: waiting prefill time per class, and the number of calls in decode.
     pub fn load(&self, speed: Speed, running: u32) -> Load {
         let mut waiting_us = [0_u64; jb_protocol::priority::CLASSES];
         let queued = self
--- a/crates/jb-fakes/src/engine/cache.rs
+++ b/crates/jb-fakes/src/engine/cache.rs
@@ -1,12 +1,12 @@
-//! The prefix cache of an engine: blocks by hash, the least recently used
-//! evicted first, the end of a prompt before its beginning.
+//! Prefix cache of an engine: blocks by hash, with LRU eviction. Within a
+//! prompt, later blocks are evicted before earlier ones.
 
 use std::collections::{BTreeMap, HashMap};
 
 use jb_protocol::token::{BYTES_PER_BLOCK, TOKENS_PER_BLOCK};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Stamps given to the blocks of one prompt.
+/// Range of recency stamps reserved for the blocks of one prompt.
 const STAMPS_PER_PROMPT: u64 = 1 << 20;
 
 #[derive(Clone, Copy, Debug)]
@@ -15,16 +15,16 @@
     owner: u64,
 }
 
-/// What a prompt found in the cache.
+/// Result of looking up a prompt in the cache.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Found {
-    /// Tokens found.
+    /// Number of cached tokens.
     pub tokens: u32,
-    /// Blocks among them that another owner had left.
+    /// Number of these blocks that another owner stored.
     pub foreign: u64,
 }
 
-/// The cache.
+/// Prefix cache with a capacity in blocks.
 #[derive(Debug)]
 pub struct Cache {
     capacity: usize,
@@ -33,7 +33,7 @@
     clock: u64,
 }
 
-/// Hashes of a prompt's whole blocks, seeded with the salt.
+/// Returns the chained hashes of a prompt's whole blocks, seeded with the salt.
 pub fn hashes(salt: &str, prompt: &str) -> Vec<u64> {
     let seed = xxh3_64(salt.as_bytes());
     prompt
@@ -47,7 +47,7 @@
 }
 
 impl Cache {
-    /// A cache of `tokens` tokens.
+    /// Creates an empty cache with a capacity of `tokens` tokens.
     pub fn new(tokens: u32) -> Self {
         Self {
             capacity: (tokens / TOKENS_PER_BLOCK) as usize,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Length of the longest prefix that is cached.
+    /// Returns the length of the longest cached prefix.
     pub fn find(&self, hashes: &[u64], owner: u64) -> Found {
         let held = hashes.iter().map_while(|hash| self.blocks.get(hash));
         let mut found = Found::default();
@@ -68,7 +68,7 @@
         found
     }
 
-    /// Puts a prompt's blocks, or refreshes them, and evicts what is too much.
+    /// Inserts or refreshes a prompt's blocks and evicts blocks beyond the capacity.
     pub fn put(&mut self, hashes: &[u64], owner: u64) {
         self.clock += STAMPS_PER_PROMPT;
         for (place, hash) in hashes.iter().enumerate() {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Forgets everything.
+    /// Removes all blocks.
     pub fn clear(&mut self) {
         self.blocks.clear();
         self.order.clear();
--- a/crates/jb-fakes/src/engine/mod.rs
+++ b/crates/jb-fakes/src/engine/mod.rs
@@ -1,5 +1,5 @@
-//! A model engine: prefix cache with eviction, chunked prefill by priority,
-//! streamed tokens, and faults.
+//! Model engine stand-in: prefix cache with eviction, chunked prefill by
+//! priority, streamed tokens and fault injection.
 
 mod batch;
 mod cache;
@@ -15,17 +15,17 @@
 /// Parameters of an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Model that is loaded.
+    /// Loaded model.
     pub model: String,
-    /// Version of the weights that is loaded.
+    /// Loaded version of the weights.
     pub weights: id::Weights,
-    /// Tokens that the cache holds.
+    /// Capacity of the prefix cache, in tokens.
     pub cache_tokens: u32,
-    /// Speed of the engine.
+    /// Speed of prefill and decode.
     pub speed: Speed,
-    /// Milliseconds between two snapshots of the load report.
+    /// Interval between two snapshots of the load report, in milliseconds.
     pub report_lag_ms: u64,
-    /// Whether orders with an old fencing token are refused.
+    /// Whether the engine rejects orders with an outdated fencing token.
     pub checks_fence: bool,
 }
 
--- a/crates/jb-fakes/src/engine/server.rs
+++ b/crates/jb-fakes/src/engine/server.rs
@@ -1,4 +1,4 @@
-//! The engine's HTTP interface.
+//! HTTP interface of the engine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,13 +19,13 @@
 use crate::listen;
 use crate::signal::announce_limit;
 
-/// Bytes of an event that is far too long.
-const GIANT: usize = 1 << 20;
+/// Size in bytes of the oversized event that the `giant` fault sends.
+const OVERSIZED_EVENT_BYTES: usize = 1 << 20;
 
-/// Status with which the process ends under a call that ends it.
-const DIED: i32 = 70;
+/// Exit status of the process when a prompt matches the `deadly` fault.
+const DEADLY_EXIT_STATUS: i32 = 70;
 
-/// Faults of one stream.
+/// Faults that apply to one stream.
 #[derive(Clone, Copy, Debug, Default)]
 struct StreamFault {
     cut_after: Option<u32>,
@@ -35,7 +35,7 @@
     giant: bool,
 }
 
-/// Counts a call as open until dropped, and as cancelled unless ended.
+/// Guard that counts a call as open until dropped, and as cancelled unless it has finished.
 struct Running {
     engine: Arc<Engine>,
     generating: bool,
@@ -56,13 +56,13 @@
 }
 
 impl Running {
-    /// Notes that the call generates from now on.
+    /// Counts the call as in decode from now on.
     fn generate(&mut self) {
         self.engine.lock().running += 1;
         self.generating = true;
     }
 
-    /// Notes that the call ends by itself.
+    /// Marks the call as finished, so that it is not counted as cancelled.
     fn finish(&mut self) {
         self.ended = true;
     }
@@ -83,26 +83,26 @@
 async fn run_call(Json(call): Json<Call>, Data(engine): Data<&Arc<Engine>>) -> Response {
     if let Some(reason) = refusal(engine, &call) {
         engine.lock().counts.refused += 1;
-        return says(engine, refuse(reason));
+        return with_signals(engine, refuse(reason));
     }
     let rest = engine.lock().fault.rest.clone().filter(|rest| !rest.is_empty());
     if let Some(rest) = rest {
         engine.lock().counts.refused += 1;
-        return says(engine, turn_away(&rest));
+        return with_signals(engine, ask_for_retry(&rest));
     }
     if is_deadly(engine, &call) {
-        std::process::exit(DIED);
+        std::process::exit(DEADLY_EXIT_STATUS);
     }
     let fault = take_fault(engine);
     let frames = frames(Arc::clone(engine), call, fault);
     let answer = Response::builder()
         .content_type("text/event-stream")
         .body(Body::from_bytes_stream(frames));
-    says(engine, answer)
+    with_signals(engine, answer)
 }
 
-/// Adds what the engine says of itself in all its answers.
-fn says(engine: &Engine, mut answer: Response) -> Response {
+/// Adds the headers for the leaving state and the rate limit to a response.
+fn with_signals(engine: &Engine, mut answer: Response) -> Response {
     let inner = engine.lock();
     let headers = answer.headers_mut();
     if inner.fault.tells == Some(true) {
@@ -136,7 +136,7 @@
         .body(not_run(reason))
 }
 
-fn turn_away(rest: &str) -> Response {
+fn ask_for_retry(rest: &str) -> Response {
     Response::builder()
         .status(StatusCode::SERVICE_UNAVAILABLE)
         .header(header::RETRY_AFTER, rest)
@@ -152,7 +152,7 @@
     serde_json::to_vec(&refusal).unwrap_or_default()
 }
 
-/// Takes the fault for the next stream, if one is left.
+/// Returns the faults for the next stream and decrements the remaining count.
 fn take_fault(engine: &Engine) -> StreamFault {
     let mut inner = engine.lock();
     let times = inner.fault.times.unwrap_or(0);
@@ -199,7 +199,7 @@
         running.generate();
         let mut due = tokio::time::Instant::now();
         for index in call.resume_at..call.max_tokens {
-            // Processing the prompt yields the first token.
+            // Prefill itself yields the first token, so it has no decode delay.
             if index > call.resume_at {
                 due += Duration::from_millis(engine.lock().settings.speed.decode_ms);
             }
@@ -214,7 +214,7 @@
                 yield event(&token("another.1", index, "crossed "));
             }
             if fault.giant {
-                yield Ok(Bytes::from(vec![b'x'; GIANT]));
+                yield Ok(Bytes::from(vec![b'x'; OVERSIZED_EVENT_BYTES]));
             }
             if fault.gap && index == call.resume_at + 1 {
                 continue;
@@ -316,10 +316,10 @@
     Json(counts)
 }
 
-/// Runs the engine until the process ends.
+/// Serves the engine until the process exits.
 ///
 /// # Errors
-/// When the address cannot be bound.
+/// Returns an error when the address cannot be bound.
 pub async fn run(address: SocketAddr, settings: Settings) -> miette::Result<()> {
     let engine = Arc::new(Engine::new(settings));
     tokio::spawn(Arc::clone(&engine).prefill());
--- a/crates/jb-fakes/src/engine/state.rs
+++ b/crates/jb-fakes/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! State of a stand-in engine and the thread of its prefill.
+//! State of an engine and its prefill task.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,39 +15,39 @@
 use super::cache::{Cache, hashes};
 use crate::control::{EngineCounts, EngineFault};
 
-/// What an engine keeps.
+/// Mutable state of an engine, behind its lock.
 pub struct Inner {
-    /// Parameters.
+    /// Parameters of the engine.
     pub settings: Settings,
-    /// Cache.
+    /// Prefix cache.
     pub cache: Cache,
-    /// Prefill queue.
+    /// Queue of prompts that wait for prefill.
     pub queue: Queue,
-    /// Calls that generate.
+    /// Number of calls in decode.
     pub running: u32,
-    /// Present incarnation.
+    /// Current incarnation.
     pub incarnation: id::Incarnation,
-    /// Faults.
+    /// Injected faults.
     pub fault: EngineFault,
-    /// Counts.
+    /// Counters for the control endpoint.
     pub counts: EngineCounts,
-    /// Calls by prompt.
+    /// Number of calls by hash of the prompt.
     pub prompts: HashMap<u64, u32>,
-    /// Last order's fencing token.
+    /// Highest fencing token of an accepted order.
     pub fence: id::Fence,
     report: Option<(Instant, Load)>,
 }
 
-/// An engine.
+/// Engine shared by its HTTP handlers and its prefill task.
 pub struct Engine {
     inner: Mutex<Inner>,
     work: Notify,
-    /// Tells open calls of a crash.
+    /// Number of crashes; a change makes open calls fail.
     pub crashes: watch::Sender<u64>,
 }
 
 impl Engine {
-    /// A fresh engine with an empty cache.
+    /// Creates an engine with an empty cache and a new incarnation.
     pub fn new(settings: Settings) -> Self {
         let inner = Inner {
             cache: Cache::new(settings.cache_tokens),
@@ -68,13 +68,13 @@
         }
     }
 
-    /// The state.
+    /// Locks the state.
     pub fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Queues a call; the receiver is told the cached tokens once the prompt
-    /// is processed.
+    /// Queues a call; the receiver gets the number of cached tokens when
+    /// prefill is complete.
     pub fn enqueue(&self, call: &Call) -> oneshot::Receiver<u32> {
         let (done, processed) = oneshot::channel();
         let mut inner = self.lock();
@@ -101,7 +101,7 @@
         processed
     }
 
-    /// The load report, as old as the lag makes it.
+    /// Returns the load report, whose snapshot is at most `report_lag_ms` old.
     pub fn report(&self) -> Report {
         let mut inner = self.lock();
         let lag = Duration::from_millis(inner.settings.report_lag_ms);
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Loses everything and comes back as a new incarnation.
+    /// Clears the cache and the queue, fails open calls and starts a new incarnation.
     pub fn crash(&self) {
         let mut inner = self.lock();
         inner.cache.clear();
@@ -133,7 +133,7 @@
         self.crashes.send_modify(|count| *count += 1);
     }
 
-    /// Processes prompts until the process ends.
+    /// Processes the prefill queue until the process exits.
     pub async fn prefill(self: Arc<Self>) {
         let mut free_at = tokio::time::Instant::now();
         loop {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// The time that the next chunk of a job takes.
+    /// Starts the next chunk of a job and returns its duration.
     fn begin_step(&self, job: &mut Job) -> Duration {
         let mut inner = self.lock();
         if job.left.is_none() {
@@ -174,7 +174,7 @@
             return;
         }
         inner.cache.put(&job.hashes, job.owner);
-        // A caller that has gone away needs no word.
+        // Sending fails only when the caller has disconnected.
         let _ = job.done.send(job.cached);
     }
 }
