--- a/crates/jb-fakes/src/load/caller.rs
+++ b/crates/jb-fakes/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! Callers that send a trace and check what they get.
+//! Callers that replay a trace and check the responses.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,35 +18,35 @@
 use super::workload::Customer;
 use crate::answer;
 
-/// Time in which a whole answer must come.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// Times that a caller follows a refusal that says when to come back.
-const RETURNS: u32 = 3;
+/// Timeout of one request, including its whole response.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
+/// Number of retries after retryable refusals.
+const MAX_RETRIES: u32 = 3;
 
-/// What a caller has seen of one request.
+/// Result of one request as the caller sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Seen {
-    /// The whole answer to the own request.
+    /// The complete and correct response.
     Complete {
-        /// Time to the first token; only a streamed answer shows it.
+        /// Time to the first token; `None` for responses that are not streamed.
         first: Option<Duration>,
-        /// Tokens of the prompt.
+        /// Number of tokens in the prompt.
         prompt_tokens: u64,
-        /// Tokens of the prompt found cached.
+        /// Number of prompt tokens found cached.
         cached_tokens: u64,
     },
-    /// A refusal.
+    /// An error document, as a response or as an event of a stream.
     Refused {
-        /// Kind of error.
+        /// Kind of the error.
         kind: Kind,
-        /// Whether it ran.
+        /// Whether the request was run.
         outcome: Outcome,
     },
-    /// Neither: a wrong answer, a part of one, or none.
+    /// A wrong, incomplete or missing response, with the reason.
     Lost(String),
 }
 
-/// Callers of a fleet.
+/// Simulated callers of a fleet.
 #[derive(Clone)]
 pub struct Callers {
     http: reqwest::Client,
@@ -57,11 +57,11 @@
 }
 
 impl Callers {
-    /// Callers of `boxes` that ask for `model`, and for `service` where a
-    /// call may run at most once.
+    /// Creates callers of `boxes` that send chats to `model` and at-most-once
+    /// calls to `service`.
     ///
     /// # Errors
-    /// When the HTTP library cannot be set up.
+    /// Returns an error when the HTTP client cannot be built.
     pub fn new(
         boxes: Vec<SocketAddr>,
         customers: Vec<Customer>,
@@ -70,7 +70,7 @@
     ) -> miette::Result<Self> {
         let http = reqwest::Client::builder()
             .no_proxy()
-            .timeout(PATIENCE)
+            .timeout(REQUEST_TIMEOUT)
             .tcp_nodelay(true);
         Ok(Self {
             http: http.build().into_diagnostic()?,
@@ -81,8 +81,8 @@
         })
     }
 
-    /// Sends every request at its time, each to a box drawn by `seed`, and
-    /// calls `progress` as each one ends.
+    /// Sends every request at its scheduled time to a box drawn with `seed`, and
+    /// calls `progress` with the number of requests sent so far.
     pub async fn run(&self, shots: &[Shot], seed: u64, progress: impl Fn(usize) + Sync) -> Vec<Seen> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let start = tokio::time::Instant::now();
@@ -102,21 +102,21 @@
         seen
     }
 
-    /// Sends one request, and again to the next box when the refusal says
-    /// that it did not run and another box may take it.
+    /// Sends one request; retries at the next box when the request was refused
+    /// without being run and another box may accept it.
     pub async fn call(&self, shot: &Shot, first: usize) -> Seen {
         let mut seen = Seen::Lost("not sent".to_owned());
-        for turn in 0..=RETURNS as usize {
-            let at = self.boxes[(first + turn) % self.boxes.len()];
+        for retry in 0..=MAX_RETRIES as usize {
+            let at = self.boxes[(first + retry) % self.boxes.len()];
             seen = send(&self.http, at, &self.request(shot)).await;
-            let again = matches!(
+            let retryable = matches!(
                 seen,
                 Seen::Refused {
                     kind: Kind::Stopping | Kind::NoUpstream | Kind::HallUnreachable | Kind::UpstreamRefused,
                     outcome: Outcome::NotRun
                 }
             );
-            if !again {
+            if !retryable {
                 return seen;
             }
         }
@@ -150,7 +150,7 @@
     }
 }
 
-/// The body of a chat completion.
+/// Returns the JSON body of a chat completion request.
 pub fn chat(model: &str, levels: &[String], max_tokens: u32, stream: bool) -> Value {
     let message =
         |(level, text): (usize, &String)| json!({"role": role(level, levels.len()), "content": text});
@@ -158,24 +158,24 @@
     json!({"model": model, "messages": messages, "max_tokens": max_tokens, "stream": stream})
 }
 
-/// A request as it goes over the wire, with the answer that it must get.
+/// HTTP request with its expected response.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Bearer key.
+    /// Bearer token of the customer.
     pub key: String,
-    /// Whether it may run at most once; the body is its key then.
+    /// Whether the request may run at most once; its body is then the idempotency key.
     pub once: bool,
-    /// Priority class.
+    /// Priority class of the request.
     pub class: Priority,
-    /// Path.
+    /// URL path.
     pub path: String,
-    /// Body.
+    /// Request body.
     pub body: String,
-    /// Whole text of the right answer.
+    /// Text of the correct response.
     pub expected: String,
 }
 
-/// Sends one request to one box and checks its answer.
+/// Sends one request to one box and checks the response.
 pub async fn send(http: &reqwest::Client, at: SocketAddr, request: &Request) -> Seen {
     let class = match request.class {
         Priority::Urgent => "urgent",
@@ -224,7 +224,7 @@
     let value: Value = serde_json::from_str(&text).unwrap_or(Value::Null);
     let content = value["choices"][0]["message"]["content"].as_str();
     if content.unwrap_or(&text) != expected {
-        return Seen::Lost("the answer is not that of the request".to_owned());
+        return Seen::Lost("response text differs from the expected text".to_owned());
     }
     complete(None, &value)
 }
@@ -248,7 +248,7 @@
     let mut last = Value::Null;
     while let Some(chunk) = bytes.next().await {
         let Ok(chunk) = chunk else {
-            return Seen::Lost("the stream broke off".to_owned());
+            return Seen::Lost("connection failed during the stream".to_owned());
         };
         buffer.extend_from_slice(&chunk);
         while let Some(end) = buffer.windows(2).position(|w| w == b"\n\n") {
@@ -262,7 +262,7 @@
                 return if text == expected {
                     complete(first, &last)
                 } else {
-                    Seen::Lost("the stream is not that of the request".to_owned())
+                    Seen::Lost("streamed text differs from the expected text".to_owned())
                 };
             }
             last = serde_json::from_str(data).unwrap_or(Value::Null);
@@ -274,7 +274,7 @@
             );
         }
     }
-    Seen::Lost("the stream stopped without an end".to_owned())
+    Seen::Lost("stream ended without [DONE]".to_owned())
 }
 
 fn problem_of(text: &str) -> Seen {
--- a/crates/jb-fakes/src/load/ceiling.rs
+++ b/crates/jb-fakes/src/load/ceiling.rs
@@ -1,12 +1,12 @@
-//! The best hit rate that a trace allows: one cache with the capacity of all
-//! engines together, and every request in the order in which it is sent.
+//! Upper bound of the hit rate for a trace: a single cache with the combined
+//! capacity of all engines that processes the requests in the order of sending.
 
 use jb_protocol::token;
 
 use super::trace::{Shot, What, prompt_text};
 use crate::engine::{Cache, hashes};
 
-/// Hit rate of one cache of `tokens` tokens.
+/// Returns the hit rate of a single cache with a capacity of `tokens` tokens.
 pub fn hit_rate(shots: &[&Shot], tokens: u32) -> f64 {
     let mut cache = Cache::new(tokens);
     let mut prompt_tokens = 0_u64;
@@ -24,7 +24,7 @@
     ratio(cached_tokens, prompt_tokens)
 }
 
-/// A ratio that is 0 where nothing was counted.
+/// Returns `part / whole`, or 0 when `whole` is 0.
 pub fn ratio(part: u64, whole: u64) -> f64 {
     if whole == 0 {
         0.0
--- a/crates/jb-fakes/src/load/mod.rs
+++ b/crates/jb-fakes/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! The load tool: seeded workloads, callers, and what they have seen.
+//! Load tool: seeded workloads, callers and their results.
 
 mod caller;
 mod ceiling;
--- a/crates/jb-fakes/src/load/prompt.rs
+++ b/crates/jb-fakes/src/load/prompt.rs
@@ -1,4 +1,4 @@
-//! Texts of prompts: seeded, of a given length, and the same for one name.
+//! Seeded prompt texts of a given length; the same name gives the same text.
 
 use jb_protocol::token::BYTES_PER_TOKEN;
 use rand::{Rng as _, SeedableRng as _};
@@ -7,19 +7,19 @@
 
 const LETTERS: &[u8] = b"abcdefghijklmnopqrstuvwxyz ";
 
-/// Makes texts from one seed.
+/// Generator of prompt texts from one seed.
 #[derive(Clone, Copy, Debug)]
 pub struct Library {
     seed: u64,
 }
 
 impl Library {
-    /// The texts of a seed.
+    /// Creates a generator from a seed.
     pub fn new(seed: u64) -> Self {
         Self { seed }
     }
 
-    /// The text of a name, `tokens` tokens long.
+    /// Returns the text for a name, `tokens` tokens long.
     pub fn text(&self, name: &str, tokens: u32) -> String {
         let mut rng = ChaCha8Rng::seed_from_u64(xxh3_64_with_seed(name.as_bytes(), self.seed));
         let bytes = tokens as usize * BYTES_PER_TOKEN;
--- a/crates/jb-fakes/src/load/tally.rs
+++ b/crates/jb-fakes/src/load/tally.rs
@@ -1,4 +1,4 @@
-//! What a run of callers adds up to.
+//! Summary of the results of a run.
 
 use std::time::Duration;
 
@@ -8,39 +8,40 @@
 use super::caller::Seen;
 use super::ceiling::ratio;
 
-/// Longest time that the histogram holds, in microseconds.
-const MOST_US: u64 = 120_000_000;
-const DIGITS: u8 = 3;
+/// Upper bound of the histogram, in microseconds; longer times are clamped to it.
+const MAX_TIME_US: u64 = 120_000_000;
+/// Significant decimal digits of the histogram.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Sums of a run.
+/// Counters and latencies of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Tally {
-    /// Requests sent.
+    /// Number of requests sent.
     pub requests: usize,
-    /// Requests answered completely.
+    /// Number of requests with a complete and correct response.
     pub complete: usize,
-    /// Requests refused.
+    /// Number of requests refused with an error document.
     pub refused: usize,
-    /// Requests without a right answer or a refusal.
+    /// Number of requests with a wrong, incomplete or missing response.
     pub lost: usize,
-    /// Tokens of prompts.
+    /// Prompt tokens of the complete requests.
     pub prompt_tokens: u64,
-    /// Tokens of prompts found cached.
+    /// Prompt tokens of the complete requests that were found cached.
     pub cached_tokens: u64,
     /// Median time to the first token, in milliseconds.
     pub ttft_p50_ms: f64,
-    /// 99th percentile of it.
+    /// 99th percentile of the time to the first token, in milliseconds.
     pub ttft_p99_ms: f64,
 }
 
 impl Tally {
-    /// Share of the prompts' tokens found cached.
+    /// Returns the share of prompt tokens found cached.
     pub fn hit_rate(&self) -> f64 {
         ratio(self.cached_tokens, self.prompt_tokens)
     }
 }
 
-/// Adds up what callers have seen.
+/// Summarizes the results of requests.
 pub fn tally<'s>(seen: impl Iterator<Item = &'s Seen>) -> Tally {
     let mut sum = Tally::default();
     let mut times: Vec<Duration> = Vec::new();
@@ -67,11 +68,11 @@
 }
 
 fn quantile(times: &[Duration], at: f64) -> f64 {
-    let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, MOST_US, DIGITS) else {
+    let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, MAX_TIME_US, SIGNIFICANT_DIGITS) else {
         return 0.0;
     };
     for time in times {
-        let us = u64::try_from(time.as_micros()).unwrap_or(MOST_US);
+        let us = u64::try_from(time.as_micros()).unwrap_or(MAX_TIME_US);
         histogram.saturating_record(us.max(1));
     }
     histogram.value_at_quantile(at) as f64 / 1000.0
--- a/crates/jb-fakes/src/load/trace.rs
+++ b/crates/jb-fakes/src/load/trace.rs
@@ -1,47 +1,47 @@
-//! One request of a trace.
+//! Requests of a trace.
 
 use std::time::Duration;
 
 use jb_protocol::priority::Priority;
 
-/// What a request asks for.
+/// Content of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum What {
     /// A chat completion.
     Chat {
-        /// Levels of the prompt, the outermost first.
+        /// Messages of the prompt, the most widely shared prefix first.
         levels: Vec<String>,
-        /// Tokens to generate.
+        /// Number of tokens to generate.
         max_tokens: u32,
-        /// Whether the answer is streamed.
+        /// Whether the response is streamed.
         stream: bool,
     },
     /// A call to a plain service that may run at most once.
     Once {
-        /// Body, unique to the call.
+        /// Request body, unique to the call.
         body: String,
     },
 }
 
-/// One request.
+/// One scheduled request of a trace.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shot {
-    /// When it is sent, from the start of the trace.
+    /// Send time, relative to the start of the trace.
     pub at: Duration,
-    /// Place of its customer in the workload's list.
+    /// Index of the customer in the workload's list.
     pub customer: usize,
-    /// Priority class.
+    /// Priority class of the request.
     pub class: Priority,
-    /// Whether it belongs to the load beyond a customer's limit.
+    /// Whether the request is part of the load beyond a customer's limit.
     pub flood: bool,
-    /// What it asks for.
+    /// Content of the request.
     pub what: What,
 }
 
-/// Role of each message by its level; the last is always the user's.
+/// Roles of the messages by level; the last message always has the role `user`.
 const ROLES: [&str; 3] = ["system", "developer", "assistant"];
 
-/// Role of a level.
+/// Returns the role of the message at `level` of `levels`.
 pub fn role(level: usize, levels: usize) -> &'static str {
     if level + 1 == levels {
         return "user";
@@ -49,7 +49,7 @@
     ROLES.get(level).copied().unwrap_or("user")
 }
 
-/// The prompt that an engine gets for the levels of a chat.
+/// Returns the prompt text that an engine receives for the messages of a chat.
 pub fn prompt_text(levels: &[String]) -> String {
     let texts = levels.iter().enumerate();
     texts
--- a/crates/jb-fakes/src/load/workload.rs
+++ b/crates/jb-fakes/src/load/workload.rs
@@ -1,4 +1,4 @@
-//! The workloads of the two users, and what happens to them.
+//! Workloads modelled on two users, with their events such as crashes and overload.
 
 use std::time::Duration;
 
@@ -10,25 +10,25 @@
 use super::prompt::Library;
 use super::trace::{Shot, What};
 
-/// Name of a workload.
+/// Names of the workloads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Name {
-    /// Long house style, tenant template, event; reused all day.
+    /// Long prompts of house style, tenant template and event, reused throughout the trace.
     Larkspur,
-    /// Long manifests beside short rider calls that come first.
+    /// Long manifest prompts mixed with short, urgent rider calls.
     Courier,
-    /// The hot prefixes change midway.
+    /// The frequently used prefixes change halfway through the trace.
     HotShift,
-    /// Two engines come back empty midway.
+    /// Two engines restart with empty caches halfway through the trace.
     EngineCrash,
-    /// A route moves to another hall.
+    /// A route is migrated to another hall.
     Migration,
-    /// One customer offers three times its limit.
+    /// One customer sends three times its limit.
     Overload,
 }
 
 impl Name {
-    /// Every workload.
+    /// All workloads, in the order of the table.
     pub const ALL: [Self; 6] = [
         Self::Larkspur,
         Self::Courier,
@@ -38,7 +38,7 @@
         Self::Overload,
     ];
 
-    /// Name as on the command line.
+    /// Returns the name used on the command line.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Larkspur => "larkspur",
@@ -51,63 +51,63 @@
     }
 }
 
-/// A customer of a workload.
+/// Customer of a workload.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Customer {
-    /// Name.
+    /// Customer id.
     pub id: String,
-    /// Bearer key.
+    /// Bearer token.
     pub key: String,
-    /// Tokens a second that it may use; no limit when `None`.
+    /// Limit in tokens per second; `None` for no limit.
     pub tokens_per_second: Option<u32>,
 }
 
-/// A whole trace.
+/// Complete trace with its customers.
 #[derive(Clone, Debug)]
 pub struct Workload {
-    /// Customers.
+    /// Customers that send requests.
     pub customers: Vec<Customer>,
-    /// Requests in the order in which they are sent.
+    /// Requests in order of send time.
     pub shots: Vec<Shot>,
-    /// Weight of recomputed tokens that suits the users.
+    /// Weight of recomputed tokens suited to this workload.
     pub cache_weight: f64,
 }
 
-/// Shape of one class of requests.
+/// Prompt sizes and rate of one class of requests.
 #[derive(Clone, Copy, Debug)]
 struct Shape {
-    /// Tokens of the customer's own house style, 0 for none.
+    /// Tokens of the customer's house style; 0 for none.
     style: u32,
-    /// Tokens of a template, and how many a customer has.
+    /// Tokens per template, and number of templates per customer.
     template: u32,
     templates: u32,
-    /// Tokens of an event or manifest, and how many a template has.
+    /// Tokens per event or manifest, and number of them per template.
     event: u32,
     events: u32,
-    /// Tokens of the request itself.
+    /// Tokens unique to the request.
     tail: u32,
-    /// Tokens generated.
+    /// Number of tokens to generate.
     answer: u32,
     /// Priority class.
     class: Priority,
-    /// Requests a second.
+    /// Mean requests per second.
     rate: f64,
 }
 
 const CUSTOMERS: usize = 8;
-/// Customers are of unlike size: the exponent of their Zipf distribution.
+/// Exponent of the Zipf distribution of requests over customers.
 const CUSTOMER_SKEW: f64 = 1.0;
-/// So are templates and events.
+/// Exponent of the Zipf distributions over templates and over events.
 const PREFIX_SKEW: f64 = 0.9;
-/// The length of a trace.
+/// Duration of a trace.
 pub const LENGTH: Duration = Duration::from_secs(6);
-/// Share of chat requests that are streamed.
+/// Probability that a chat request is streamed.
 const STREAMED: f64 = 0.5;
-/// Tokens a second that the flooding customer may use in one hall.
+/// Limit of the flooding customer in one hall, in tokens per second.
 const FLOOD_LIMIT: u32 = 180_000;
-/// What it offers beyond that, as a multiple of it.
+/// Load of the flooding customer beyond its limit, as a multiple of the limit.
 const FLOOD_FACTOR: f64 = 2.0;
-/// Place of the flooding customer.
+/// Index of the flooding customer.
 pub const FLOODING: usize = 0;
 
 const LARKSPUR: Shape = Shape {
@@ -146,9 +146,9 @@
     rate: 90.0,
 };
 
-/// Makes a workload.
+/// Generates a workload from a seed.
 pub fn workload(name: Name, seed: u64) -> Workload {
-    let mut maker = Maker {
+    let mut generator = Generator {
         rng: ChaCha8Rng::seed_from_u64(seed),
         library: Library::new(seed),
         shots: Vec::new(),
@@ -156,31 +156,31 @@
     let mut customers = customers();
     let cache_weight = match name {
         Name::Larkspur | Name::EngineCrash | Name::Migration => {
-            maker.add(&LARKSPUR, "", Duration::ZERO, LENGTH);
+            generator.add(&LARKSPUR, "", Duration::ZERO, LENGTH);
             1.0
         }
         Name::Courier => {
-            maker.add(&MANIFESTS, "", Duration::ZERO, LENGTH);
-            maker.add(&RIDERS, "riders", Duration::ZERO, LENGTH);
+            generator.add(&MANIFESTS, "", Duration::ZERO, LENGTH);
+            generator.add(&RIDERS, "riders", Duration::ZERO, LENGTH);
             3.0
         }
         Name::HotShift => {
-            maker.add(&MANIFESTS, "", Duration::ZERO, LENGTH / 2);
-            maker.add(&MANIFESTS, "later", LENGTH / 2, LENGTH);
-            maker.add(&RIDERS, "riders", Duration::ZERO, LENGTH);
+            generator.add(&MANIFESTS, "", Duration::ZERO, LENGTH / 2);
+            generator.add(&MANIFESTS, "later", LENGTH / 2, LENGTH);
+            generator.add(&RIDERS, "riders", Duration::ZERO, LENGTH);
             3.0
         }
         Name::Overload => {
-            maker.add(&LARKSPUR, "", Duration::ZERO, LENGTH);
-            maker.flood();
+            generator.add(&LARKSPUR, "", Duration::ZERO, LENGTH);
+            generator.flood();
             customers[FLOODING].tokens_per_second = Some(FLOOD_LIMIT);
             1.0
         }
     };
-    maker.shots.sort_by_key(|shot| shot.at);
+    generator.shots.sort_by_key(|shot| shot.at);
     Workload {
         customers,
-        shots: maker.shots,
+        shots: generator.shots,
         cache_weight,
     }
 }
@@ -194,15 +194,15 @@
     (0..CUSTOMERS).map(one).collect()
 }
 
-struct Maker {
+struct Generator {
     rng: ChaCha8Rng,
     library: Library,
     shots: Vec<Shot>,
 }
 
-impl Maker {
-    /// Adds requests of one shape; `era` names another set of prefixes.
-    fn add(&mut self, shape: &Shape, era: &str, from: Duration, to: Duration) {
+impl Generator {
+    /// Adds requests of one shape; each `prefix_set` has its own set of prefixes.
+    fn add(&mut self, shape: &Shape, prefix_set: &str, from: Duration, to: Duration) {
         let mut at = from;
         loop {
             at += self.gap(shape.rate);
@@ -210,12 +210,12 @@
                 return;
             }
             let customer = self.zipf(CUSTOMERS, CUSTOMER_SKEW);
-            let shot = self.shot(shape, era, customer, at);
+            let shot = self.shot(shape, prefix_set, customer, at);
             self.shots.push(shot);
         }
     }
 
-    /// Adds what the first customer offers beyond its limit.
+    /// Adds the flooding customer's load beyond its limit.
     fn flood(&mut self) {
         let tokens = LARKSPUR.style + LARKSPUR.template + LARKSPUR.event + LARKSPUR.tail + LARKSPUR.answer;
         let rate = f64::from(FLOOD_LIMIT) * FLOOD_FACTOR / f64::from(tokens);
@@ -231,10 +231,10 @@
         }
     }
 
-    fn shot(&mut self, shape: &Shape, era: &str, customer: usize, at: Duration) -> Shot {
+    fn shot(&mut self, shape: &Shape, prefix_set: &str, customer: usize, at: Duration) -> Shot {
         let template = self.zipf(shape.templates as usize, PREFIX_SKEW);
         let event = self.zipf(shape.events as usize, PREFIX_SKEW);
-        let place = format!("{era}/{customer}");
+        let place = format!("{prefix_set}/{customer}");
         let unique = self.shots.len();
         let names = [
             (format!("{place}/style"), shape.style),
