--- a/crates/jb-fakes/src/experiment/mod.rs
+++ b/crates/jb-fakes/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! The experiment: every policy on the same trace, in one run.
+//! Comparison of all routing policies on the same traces in one run.
 
 mod row;
 mod run;
--- a/crates/jb-fakes/src/experiment/row.rs
+++ b/crates/jb-fakes/src/experiment/row.rs
@@ -1,46 +1,46 @@
-//! One row of the experiment's table.
+//! Rows of the result table.
 
 use serde::Serialize;
 
 use crate::load::Tally;
 
-/// Figures of one policy on one workload.
+/// Results of one policy on one workload.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
-    /// Policy.
+    /// Name of the routing policy.
     pub policy: &'static str,
-    /// Workload; `-calm` is the same trace without what happens to it.
+    /// Label of the workload; the suffix `-calm` marks the same trace without its events.
     pub workload: String,
-    /// Requests of the customers within their limits.
+    /// Number of requests sent; in the overload workload without the flooding customer.
     pub requests: usize,
-    /// Requests answered completely.
+    /// Number of requests with a complete and correct response.
     pub complete: usize,
-    /// Share of the prompts' tokens found cached.
+    /// Share of prompt tokens found cached.
     pub hit_rate: f64,
-    /// The same for one cache of the whole capacity.
+    /// Hit rate of a single cache with the combined capacity of one hall's engines.
     pub hit_rate_ceiling: f64,
-    /// Median time to the first token.
+    /// Median time to the first token, in milliseconds.
     pub ttft_p50_ms: f64,
-    /// 99th percentile of it.
+    /// 99th percentile of the time to the first token, in milliseconds.
     pub ttft_p99_ms: f64,
-    /// 99th percentile of the urgent requests alone.
+    /// 99th percentile of the time to the first token of urgent requests, in milliseconds.
     pub urgent_p99_ms: f64,
-    /// Share of the prompts' tokens that were processed, new ones included.
+    /// Share of prompt tokens processed by prefill, including tokens seen for the first time.
     pub recomputed_token_ratio: f64,
-    /// Requests refused.
+    /// Number of requests refused with an error document.
     pub refused: usize,
-    /// Requests refused of the load beyond a limit.
+    /// Number of refused requests among the load beyond a customer's limit.
     pub flood_refused: usize,
-    /// Requests without a right answer or a refusal.
+    /// Number of requests with a wrong, incomplete or missing response.
     pub lost: usize,
-    /// Calls that ran more than once though they may not.
+    /// Number of at-most-once calls that ran more than once.
     pub doubled: usize,
-    /// Bytes for control, per box and second.
+    /// Control traffic in bytes per box and second.
     pub control_bytes_per_node_s: f64,
 }
 
 impl Row {
-    /// Takes over what callers have seen.
+    /// Sets the columns that come from a tally.
     pub fn with_tally(mut self, sum: &Tally) -> Self {
         self.requests = sum.requests;
         self.complete = sum.complete;
@@ -54,7 +54,7 @@
     }
 }
 
-/// Prints the head of the table.
+/// Prints the header of the table.
 pub fn print_head() {
     println!(
         "{:<13} {:<16} {:>8} {:>8} {:>6} {:>7} {:>8} {:>8} {:>10} {:>10} {:>7} {:>7} {:>4} {:>7} {:>9}",
--- a/crates/jb-fakes/src/experiment/run.rs
+++ b/crates/jb-fakes/src/experiment/run.rs
@@ -1,4 +1,4 @@
-//! Runs one policy on one workload: a fleet of its own, one trace.
+//! Runs one policy on one workload, in a separate fleet.
 
 use std::time::Instant;
 
@@ -13,24 +13,25 @@
 use crate::load::{self, Callers, FLOODING, LENGTH, Name, Seen, Shot, Workload};
 
 const CACHE_TOKENS: u32 = 24_000;
-const ENGINES_IN_ALL: usize = 8;
+/// Number of engines in a hall.
+const ENGINES_PER_HALL: usize = 8;
 const BOXES_PER_HALL: usize = 2;
-/// Engines that crash in `engine_crash`.
+/// Number of engines that crash in `engine_crash`.
 const CRASHES: usize = 2;
-/// Gates of the migration, in percent.
-const GATES: [u32; 2] = [25, 100];
+/// Shares of traffic moved in the steps of the migration, in percent.
+const MIGRATION_SHARES: [u32; 2] = [25, 100];
 
-/// One trace and what happens to it.
+/// Workload, with or without its events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Case {
-    /// Workload.
+    /// Name of the workload.
     pub name: Name,
-    /// Whether nothing happens: the run that others are compared with.
+    /// Whether the events are left out, as the baseline of the comparison.
     pub calm: bool,
 }
 
 impl Case {
-    /// Name in the table.
+    /// Returns the label shown in the table.
     pub fn label(self) -> String {
         let calm = if self.calm { "-calm" } else { "" };
         format!("{}{calm}", self.name.as_str())
@@ -44,24 +45,24 @@
             plain: 0,
         };
         if self.name == Name::Migration {
-            vec![hall("hall-a", ENGINES_IN_ALL), hall("hall-b", ENGINES_IN_ALL)]
+            vec![hall("hall-a", ENGINES_PER_HALL), hall("hall-b", ENGINES_PER_HALL)]
         } else {
-            vec![hall("hall-a", ENGINES_IN_ALL)]
+            vec![hall("hall-a", ENGINES_PER_HALL)]
         }
     }
 }
 
-/// The cases of a workload: itself, and its calm run where it has one.
+/// Returns the cases of a workload: its baseline without events, where it has events, and the workload itself.
 pub fn cases(name: Name) -> Vec<Case> {
     let calm = matches!(name, Name::EngineCrash | Name::Migration | Name::Overload);
     let both = [true, false].map(|calm| Case { name, calm });
     both.into_iter().filter(|case| calm || !case.calm).collect()
 }
 
-/// Runs one policy on one case.
+/// Runs one policy on one case in a new fleet.
 ///
 /// # Errors
-/// When a process does not start.
+/// Returns an error when the fleet cannot be started or controlled.
 pub async fn run(programs: &Programs, case: Case, policy: Policy, seed: u64) -> miette::Result<Row> {
     let mut trace = load::workload(case.name, seed);
     if case.calm {
@@ -80,9 +81,9 @@
     let before = control_bytes(&rig).await?;
     let started = Instant::now();
     let sending = callers.run(&trace.shots, seed, |_| {});
-    let happening = happen(&mut rig, case, &layout, &options);
-    let (seen, happened) = tokio::join!(sending, happening);
-    happened?;
+    let events = run_events(&mut rig, case, &layout, &options);
+    let (seen, events_result) = tokio::join!(sending, events);
+    events_result?;
     let elapsed = started.elapsed().as_secs_f64();
     let spent = control_bytes(&rig).await? - before;
     let boxes = rig.boxes().count();
@@ -107,7 +108,7 @@
     }
 }
 
-/// Callers come in through the boxes of the first hall.
+/// Returns the caller addresses of the boxes in the first hall, which receive all requests.
 fn entry_boxes(rig: &Rig) -> Vec<std::net::SocketAddr> {
     layout::caller_addresses(rig)
         .into_iter()
@@ -115,7 +116,7 @@
         .collect()
 }
 
-async fn happen(rig: &mut Rig, case: Case, layout: &Layout, options: &TreeOptions) -> miette::Result<()> {
+async fn run_events(rig: &mut Rig, case: Case, layout: &Layout, options: &TreeOptions) -> miette::Result<()> {
     if case.calm {
         return Ok(());
     }
@@ -139,7 +140,7 @@
 }
 
 async fn migrate(rig: &mut Rig, layout: &Layout, options: &TreeOptions) -> miette::Result<()> {
-    for share in GATES {
+    for share in MIGRATION_SHARES {
         tokio::time::sleep(LENGTH / 3).await;
         let moved = TreeOptions {
             route: format!("home = \"hall-a\"\ntarget = \"hall-b\"\nshare = {share}"),
@@ -152,7 +153,7 @@
 
 fn row(case: Case, policy: Policy, trace: &Workload, seen: &[Seen]) -> Row {
     let pairs = || trace.shots.iter().zip(seen);
-    // In the overload only the customers within their limits count.
+    // In the overload workload, the flooding customer is left out of the totals.
     let counts = |shot: &Shot| case.name != Name::Overload || shot.customer != FLOODING;
     let others = load::tally(pairs().filter(|(shot, _)| counts(shot)).map(|(_, seen)| seen));
     let urgent = load::tally(
@@ -162,7 +163,7 @@
     );
     let flood = load::tally(pairs().filter(|(shot, _)| shot.flood).map(|(_, seen)| seen));
     let shots: Vec<&Shot> = trace.shots.iter().filter(|shot| counts(shot)).collect();
-    let capacity = CACHE_TOKENS * u32::try_from(ENGINES_IN_ALL).unwrap_or(1);
+    let capacity = CACHE_TOKENS * u32::try_from(ENGINES_PER_HALL).unwrap_or(1);
     Row {
         policy: policy.name(),
         workload: case.label(),
@@ -183,7 +184,7 @@
     .with_tally(&others)
 }
 
-/// Control bytes that all boxes have counted.
+/// Returns the sum of the control byte counters of all boxes.
 async fn control_bytes(rig: &Rig) -> miette::Result<f64> {
     let mut sum = 0.0;
     for (name, ports) in rig.boxes() {
@@ -192,7 +193,7 @@
             .lines()
             .find(|l| l.starts_with("junctionbend_control_bytes_total"));
         let value = line.and_then(|l| l.split(' ').nth(1)?.parse::<f64>().ok());
-        sum += value.ok_or_else(|| miette!("`{name}` shows no control bytes"))?;
+        sum += value.ok_or_else(|| miette!("`{name}` has no control byte metric"))?;
     }
     Ok(sum)
 }
