--- a/crates/jb-fakes/src/bin/demo.rs
+++ b/crates/jb-fakes/src/bin/demo.rs
@@ -1,5 +1,5 @@
-//! `demo`: two halls on loopback, a few hundred requests, one engine killed
-//! on the way, and a table of what the callers saw.
+//! `demo`: runs two halls on loopback, sends a few hundred requests, kills an
+//! engine meanwhile, and prints a table of the results.
 
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
 use jb_protocol::priority::Priority;
 use miette::{IntoDiagnostic as _, miette};
 
-/// Requests of the demo that may run at most once.
+/// Number of at-most-once requests.
 const ONCE: usize = 40;
-/// Part of the users' traces that is sent.
+/// Duration of the part of the traces that is sent.
 const LENGTH: Duration = Duration::from_secs(3);
 
-/// Shows junctionbend at work on loopback.
+/// Demonstrates junctionbend on loopback.
 #[derive(FromArgs)]
 struct Arguments {
     /// seed of the requests
@@ -61,13 +61,13 @@
     }
 }
 
-/// The beginning of both users' traces, and calls that may run at most once.
+/// Returns the customers, and requests from the start of both traces mixed with at-most-once calls.
 fn trace(seed: u64) -> (Vec<load::Customer>, Vec<Shot>) {
     let larkspur = load::workload(Name::Larkspur, seed);
     let courier = load::workload(Name::Courier, seed + 1);
     let mut shots: Vec<Shot> = larkspur.shots.into_iter().chain(courier.shots).collect();
     shots.retain(|shot| shot.at < LENGTH);
-    // Both traces together are more than the demo needs.
+    // Every second request is left out: both traces together are more than the demo needs.
     let mut keep = false;
     shots.retain(|_| {
         keep = !keep;
@@ -175,5 +175,7 @@
     if *lost == 0 && doubled == 0 {
         return Ok(());
     }
-    Err(miette!("{lost} requests were lost and {doubled} ran twice"))
+    Err(miette!(
+        "{lost} requests were lost and {doubled} ran more than once"
+    ))
 }
--- a/crates/jb-fakes/src/bin/fakes.rs
+++ b/crates/jb-fakes/src/bin/fakes.rs
@@ -1,4 +1,4 @@
-//! `jb-fakes`: runs one stand-in as a process.
+//! `jb-fakes`: runs a stand-in as a process.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use jb_fakes::{collector, engine, plain, platform, relay};
 use miette::IntoDiagnostic as _;
 
-/// Stand-ins for the systems that junctionbend meets.
+/// Stand-ins for the systems that junctionbend talks to.
 #[derive(FromArgs)]
 struct Arguments {
     /// address to listen on
@@ -31,7 +31,7 @@
 #[argh(subcommand, name = "platform")]
 struct Platform {}
 
-/// A collector of traces.
+/// A trace collector.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "collector")]
 struct Collector {}
@@ -40,22 +40,22 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "engine")]
 struct Engine {
-    /// model that is loaded
+    /// loaded model
     #[argh(option, default = "String::from(\"quill\")")]
     model: String,
-    /// version of the weights
+    /// loaded version of the weights
     #[argh(option, default = "String::from(\"w1\")")]
     weights: String,
-    /// tokens that the cache holds
+    /// capacity of the prefix cache, in tokens
     #[argh(option, default = "24000")]
     cache_tokens: u32,
-    /// microseconds for each prompt token
+    /// prefill time per uncached prompt token, in microseconds
     #[argh(option, default = "25")]
     prefill_us: u64,
-    /// milliseconds for each generated token
+    /// interval between generated tokens, in milliseconds
     #[argh(option, default = "2")]
     decode_ms: u64,
-    /// takes orders with an old fencing token
+    /// accept orders with an outdated fencing token
     #[argh(switch)]
     unfenced: bool,
 }
@@ -65,7 +65,7 @@
 #[argh(subcommand, name = "plain")]
 struct Plain {}
 
-/// A relay that can cut two processes off from each other.
+/// A TCP relay that can partition two processes.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "relay")]
 struct Relay {
--- a/crates/jb-fakes/src/bin/measure.rs
+++ b/crates/jb-fakes/src/bin/measure.rs
@@ -1,5 +1,5 @@
-//! `measure`: every policy on the same trace, real daemons and stand-in
-//! engines as processes, one row for each.
+//! `measure`: compares all routing policies on the same traces, with real
+//! daemons and stand-in engines as processes; prints one row per run.
 
 use argh::FromArgs;
 use jb_fakes::experiment::{self, Case, Row};
@@ -8,19 +8,19 @@
 use jb_protocol::service::Policy;
 use miette::{IntoDiagnostic as _, miette};
 
-/// Measures the policies against each other.
+/// Compares the routing policies.
 #[derive(FromArgs)]
 struct Arguments {
     /// seed of the traces
     #[argh(option, default = "1")]
     seed: u64,
-    /// one workload only
+    /// run only this workload
     #[argh(option)]
     workload: Option<String>,
-    /// one policy only
+    /// run only this policy
     #[argh(option)]
     policy: Option<String>,
-    /// one JSON object a line
+    /// print one JSON object per line
     #[argh(switch)]
     json: bool,
 }
@@ -40,7 +40,7 @@
     };
     let found = Name::ALL.into_iter().find(|name| name.as_str() == wanted);
     let all: Vec<&str> = Name::ALL.iter().map(|name| name.as_str()).collect();
-    let name = found.ok_or_else(|| miette!("no workload `{wanted}`; there are {}", all.join(", ")))?;
+    let name = found.ok_or_else(|| miette!("unknown workload `{wanted}`; known: {}", all.join(", ")))?;
     Ok(vec![name])
 }
 
@@ -50,7 +50,7 @@
     };
     let found = Policy::ALL.into_iter().find(|policy| policy.name() == wanted);
     let all: Vec<&str> = Policy::ALL.iter().map(|policy| policy.name()).collect();
-    let policy = found.ok_or_else(|| miette!("no policy `{wanted}`; there are {}", all.join(", ")))?;
+    let policy = found.ok_or_else(|| miette!("unknown policy `{wanted}`; known: {}", all.join(", ")))?;
     Ok(vec![policy])
 }
 
@@ -75,7 +75,7 @@
     Ok(())
 }
 
-/// A calm run is compared with junctionbend's own run alone.
+/// Returns the policies to run; the baseline without events runs only with junctionbend's own policy.
 fn policies_of(case: Case, policies: &[Policy]) -> Vec<Policy> {
     let wanted = |policy: &Policy| !case.calm || *policy == Policy::Junctionbend;
     policies.iter().copied().filter(wanted).collect()
--- a/crates/jb-fakes/src/collector.rs
+++ b/crates/jb-fakes/src/collector.rs
@@ -1,4 +1,4 @@
-//! A collector of traces: takes OTLP spans as JSON and shows them.
+//! Trace collector: receives OTLP spans as JSON and lists them at the control endpoint.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,18 +12,18 @@
 use crate::control;
 use crate::listen;
 
-/// A span as it was collected.
+/// Span received by the collector.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Collected {
-    /// Trace.
+    /// Trace id.
     pub trace: String,
-    /// Span.
+    /// Span id.
     pub span: String,
-    /// Parent, empty for none.
+    /// Id of the parent span; empty for a root span.
     pub parent: String,
-    /// Name of the hop.
+    /// Name of the span.
     pub name: String,
-    /// Box that made it.
+    /// Id of the box that exported the span.
     pub box_id: String,
 }
 
@@ -65,10 +65,10 @@
     Json(spans.lock().unwrap_or_else(PoisonError::into_inner).clone())
 }
 
-/// Runs the collector until the process ends.
+/// Serves the collector until the process exits.
 ///
 /// # Errors
-/// When the address cannot be bound.
+/// Returns an error when the address cannot be bound.
 pub async fn run(address: SocketAddr) -> miette::Result<()> {
     let spans = Spans::default();
     let app = Route::new()
--- a/crates/jb-fakes/src/control.rs
+++ b/crates/jb-fakes/src/control.rs
@@ -1,144 +1,144 @@
-//! Faults of the stand-ins, each switched by a control call, and what the
-//! stand-ins have counted.
+//! Control interface of the stand-ins: faults that can be injected, and
+//! counters.
 
 use std::collections::BTreeMap;
 
 use jb_protocol::platform::Entry;
 use serde::{Deserialize, Serialize};
 
-/// Path of the control call of every stand-in; GET reads the counts.
+/// Path of the control endpoint of every stand-in: POST sets faults, GET reads the counters.
 pub const PATH: &str = "/control";
 
-/// Faults of the platform. A field that is left out stays as it was.
+/// Injectable faults of the platform. A field that is left out stays as it was.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFault {
-    /// Answers every call with an error.
+    /// Whether every request fails with status 503.
     pub out: Option<bool>,
-    /// Milliseconds added to every call.
+    /// Delay added to every request, in milliseconds.
     pub slow_ms: Option<u64>,
-    /// Writes that take effect but whose answer is lost.
+    /// Number of next writes that take effect but are answered with status 502.
     pub lose_answers: Option<u32>,
-    /// Remembers all values as they are.
+    /// Takes a snapshot of all values.
     pub snapshot: Option<bool>,
-    /// Goes back to the values remembered.
+    /// Restores the values of the last snapshot.
     pub restore: Option<bool>,
-    /// Entries of the box list to put.
+    /// Entries to add to or replace in the box list.
     pub list: Vec<Entry>,
-    /// Ids of entries of the box list to remove.
+    /// Ids of the entries to remove from the box list.
     pub unlist: Vec<String>,
 }
 
-/// What the platform has counted.
+/// Counters of the platform.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlatformCounts {
-    /// Reads, each waiting watch as one.
+    /// Number of reads; a waiting watch counts as one.
     pub reads: u64,
-    /// Writes.
+    /// Number of writes.
     pub writes: u64,
-    /// Leases taken or renewed.
+    /// Number of requests to acquire or renew a lease.
     pub leases: u64,
 }
 
-/// Faults of an engine. A field that is left out stays as it was.
+/// Injectable faults of an engine. A field that is left out stays as it was.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFault {
-    /// Takes no new work and says so in its report.
+    /// Whether the engine refuses new calls and reports that it is leaving.
     pub leaving: Option<bool>,
-    /// Hides `leaving` from its report, and takes work all the same.
+    /// Whether `leaving` is hidden from the report and calls are accepted all the same.
     pub mute: Option<bool>,
-    /// Says in all its answers that it leaves.
+    /// Whether all responses carry the header for leaving upstreams.
     pub tells: Option<bool>,
-    /// Turns each call away and asks for rest in these words; none when they are empty.
+    /// Value of the `Retry-After` header with which every call is refused; empty turns this off.
     pub rest: Option<String>,
-    /// Requests per second that it announces in all its answers; none when this is empty.
+    /// Rate limit in requests per second announced in all responses; empty turns this off.
     pub limit: Option<String>,
-    /// Loses its cache and every open call, and comes back as a new incarnation.
+    /// Clears the cache, breaks all open calls and starts a new incarnation.
     pub crash: Option<bool>,
-    /// Cuts the next streams after this many tokens.
+    /// Number of tokens after which the next streams are cut.
     pub cut_after: Option<u32>,
-    /// Number of streams to cut, cross, gap or repeat.
+    /// Number of next streams to which the stream faults apply.
     pub times: Option<u32>,
-    /// Sends frames of another attempt among the next streams' own.
+    /// Whether the next streams also contain frames of another attempt.
     pub cross: Option<bool>,
-    /// Leaves out one index in the next streams.
+    /// Whether the next streams omit one token index.
     pub gap: Option<bool>,
-    /// Repeats an index in the next streams.
+    /// Whether the next streams send token frames twice.
     pub repeat: Option<bool>,
-    /// Sends an event of a megabyte in the next streams.
+    /// Whether the next streams contain oversized events of 1 MiB.
     pub giant: Option<bool>,
-    /// Version of the weights that it runs from now on.
+    /// Weights version to load; clears the cache.
     pub weights: Option<String>,
-    /// Words in the prompts under which its process ends as soon as it runs them.
+    /// Text in a prompt that makes the process exit when it receives the call.
     pub deadly: Option<String>,
-    /// Milliseconds for each generated token.
+    /// Interval between generated tokens, in milliseconds.
     pub decode_ms: Option<u64>,
 }
 
-/// What an engine has counted.
+/// Counters of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineCounts {
-    /// Calls that were started.
+    /// Number of calls accepted.
     pub calls: u64,
-    /// Calls that were refused.
+    /// Number of calls refused.
     pub refused: u64,
-    /// Calls whose caller went away.
+    /// Number of calls that ended before completion.
     pub cancelled: u64,
-    /// Tokens of prompts.
+    /// Prompt tokens of the accepted calls.
     pub prompt_tokens: u64,
-    /// Tokens of prompts found in the cache.
+    /// Prompt tokens found in the cache.
     pub cached_tokens: u64,
-    /// Blocks used that another customer or older weights had left.
+    /// Number of cache hits on blocks stored under another salt or other weights.
     pub foreign_blocks: u64,
-    /// Calls started for each prompt, by the prompt's hash, where more than one.
+    /// Number of calls by hash of the prompt, for prompts with more than one call.
     pub repeated: BTreeMap<String, u32>,
-    /// Calls open.
+    /// Number of open calls.
     pub open: u64,
-    /// Calls that generate.
+    /// Number of calls in decode.
     pub streaming: u64,
 }
 
-/// Faults of a plain service. A field that is left out stays as it was.
+/// Injectable faults of a plain service. A field that is left out stays as it was.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlainFault {
-    /// Runs the next calls but drops the connection instead of answering.
+    /// Number of next calls that run but whose connection is dropped instead of a response.
     pub lose_answers: Option<u32>,
-    /// Answers the next calls with the attempt id of another.
+    /// Number of next calls answered with the id of another attempt.
     pub cross: Option<u32>,
-    /// Refuses calls, saying that they were not run.
+    /// Whether calls are refused with the header that says they were not run.
     pub refuse: Option<bool>,
-    /// Says in all its answers that it leaves.
+    /// Whether all responses carry the header for leaving upstreams.
     pub tells: Option<bool>,
-    /// Turns each call away and asks for rest in these words; none when they are empty.
+    /// Value of the `Retry-After` header with which every call is refused; empty turns this off.
     pub rest: Option<String>,
-    /// Requests per second that it announces in all its answers; none when this is empty.
+    /// Rate limit in requests per second announced in all responses; empty turns this off.
     pub limit: Option<String>,
-    /// Milliseconds that a call takes.
+    /// Duration of a call, in milliseconds.
     pub slow_ms: Option<u64>,
 }
 
-/// What a plain service has counted.
+/// Counters of a plain service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlainCounts {
-    /// Calls run, by their body.
+    /// Number of runs by request body.
     pub runs: BTreeMap<String, u32>,
-    /// Calls that were refused.
+    /// Number of calls refused.
     pub refused: u64,
 }
 
 impl PlainCounts {
-    /// Calls that ran more than once.
+    /// Returns the number of calls that ran more than once.
     pub fn doubled(&self) -> usize {
         self.runs.values().filter(|n| **n > 1).count()
     }
 }
 
-/// Faults of a relay.
+/// Injectable faults of a relay.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RelayFault {
-    /// Drops open connections and refuses new ones.
+    /// Whether open connections are dropped and new ones are closed at once.
     pub cut: bool,
 }
--- a/crates/jb-fakes/src/lib.rs
+++ b/crates/jb-fakes/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the systems that junctionbend meets, a fleet starter, and
-//! the load tool. For tests and measurements only; no box runs any of it.
+//! Stand-ins for the systems that junctionbend talks to, a fleet starter and a
+//! load tool. For tests and measurements only; not deployed on boxes.
 
 pub mod answer;
 pub mod collector;
--- a/crates/jb-fakes/src/listen.rs
+++ b/crates/jb-fakes/src/listen.rs
@@ -1,4 +1,4 @@
-//! Serves a stand-in on a port of the system's choice and says which.
+//! Serves a stand-in and prints its listen address.
 
 use std::net::SocketAddr;
 
@@ -8,27 +8,27 @@
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
 
-/// The line that a stand-in prints once it listens.
+/// JSON line that a stand-in prints once it listens.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Listening {
-    /// Address.
+    /// Listen address.
     pub listening: SocketAddr,
 }
 
-/// Prints where the process listens.
+/// Prints the listen address as a JSON line.
 ///
 /// # Errors
-/// When the line has no JSON form.
+/// Returns an error when the line cannot be encoded as JSON.
 pub fn announce(at: SocketAddr) -> miette::Result<()> {
     let line = serde_json::to_string(&Listening { listening: at }).into_diagnostic()?;
     println!("{line}");
     Ok(())
 }
 
-/// Serves `app` until the process ends.
+/// Prints the listen address and serves `app` until the process exits.
 ///
 /// # Errors
-/// When the address cannot be bound.
+/// Returns an error when the address cannot be bound.
 pub async fn serve(address: SocketAddr, app: Route) -> miette::Result<()> {
     let listener = TcpListener::bind(address).await.into_diagnostic()?;
     announce(listener.local_addr().into_diagnostic()?)?;
--- a/crates/jb-fakes/src/plain.rs
+++ b/crates/jb-fakes/src/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service whose calls may not be repeated; it counts its runs.
+//! Plain service whose calls must not be repeated; counts the runs of each call.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -35,7 +35,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The answer to a call that it does not run, if it refuses calls.
+    /// Returns the refusal of a call, or `None` when calls are accepted.
     fn refusal(&self) -> Option<Response> {
         let mut state = self.lock();
         if !state.refuse && state.rest.is_none() {
@@ -93,7 +93,7 @@
         .body(format!("done: {text}"))
 }
 
-/// An answer that breaks off before its body, so that the caller learns nothing.
+/// Returns a response that fails before its body, so that the caller cannot tell the outcome.
 fn cut() -> Response {
     let broken = futures_util::stream::once(async {
         Err::<bytes::Bytes, _>(std::io::Error::other("the answer is lost"))
@@ -123,10 +123,10 @@
     Json(plain.lock().counts.clone())
 }
 
-/// Runs the service until the process ends.
+/// Serves the plain service until the process exits.
 ///
 /// # Errors
-/// When the address cannot be bound.
+/// Returns an error when the address cannot be bound.
 pub async fn run(address: SocketAddr) -> miette::Result<()> {
     let plain: Arc<Plain> = Arc::default();
     let app = Route::new()
--- a/crates/jb-fakes/src/platform.rs
+++ b/crates/jb-fakes/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform: key-value service with compare-and-swap, watches and
-//! leases, and the box list.
+//! Platform: key-value service with compare-and-swap, watches and leases, and
+//! the box list.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,8 +17,8 @@
 use crate::control::{self, PlatformCounts, PlatformFault};
 use crate::listen;
 
-/// Longest value.
-const MOST_BYTES: usize = 1 << 20;
+/// Maximum size of a value.
+const MAX_VALUE_BYTES: usize = 1 << 20;
 
 #[derive(Clone, Debug)]
 struct Stored {
@@ -59,7 +59,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits as slowly as the fault says; `false` while the platform is out.
+    /// Waits for the injected delay; returns `false` while the `out` fault is set.
     async fn is_up(&self) -> bool {
         let slow = self.lock().slow;
         tokio::time::sleep(slow).await;
@@ -68,13 +68,13 @@
 }
 
 #[derive(Deserialize)]
-struct Reading {
+struct ReadQuery {
     after: Option<u64>,
     wait_ms: Option<u64>,
 }
 
 #[derive(Deserialize)]
-struct Writing {
+struct WriteQuery {
     expected: u64,
 }
 
@@ -91,14 +91,14 @@
 #[handler]
 async fn read(
     Path(key): Path<String>,
-    Query(reading): Query<Reading>,
+    Query(query): Query<ReadQuery>,
     Data(platform): Data<&Arc<Platform>>,
 ) -> Response {
     if !platform.is_up().await {
         return status(StatusCode::SERVICE_UNAVAILABLE);
     }
     platform.lock().counts.reads += 1;
-    let wait = Duration::from_millis(reading.wait_ms.unwrap_or(0));
+    let wait = Duration::from_millis(query.wait_ms.unwrap_or(0));
     let until = Instant::now() + wait;
     loop {
         let changed = platform.changed.notified();
@@ -109,7 +109,7 @@
             }
             state.values.get(&key).cloned()
         };
-        match (stored, reading.after) {
+        match (stored, query.after) {
             (Some(stored), Some(after)) if stored.version != after => return value(&stored),
             (Some(stored), None) => return value(&stored),
             (None, _) => return status(StatusCode::NOT_FOUND),
@@ -125,20 +125,20 @@
 #[handler]
 async fn write(
     Path(key): Path<String>,
-    Query(writing): Query<Writing>,
+    Query(query): Query<WriteQuery>,
     body: Body,
     Data(platform): Data<&Arc<Platform>>,
 ) -> Response {
     if !platform.is_up().await {
         return status(StatusCode::SERVICE_UNAVAILABLE);
     }
-    let Ok(body) = body.into_bytes_limit(MOST_BYTES).await else {
+    let Ok(body) = body.into_bytes_limit(MAX_VALUE_BYTES).await else {
         return status(StatusCode::PAYLOAD_TOO_LARGE);
     };
     let mut state = platform.lock();
     state.counts.writes += 1;
     let current = state.values.get(&key).map_or(0, |s| s.version);
-    if current != writing.expected {
+    if current != query.expected {
         return status(StatusCode::PRECONDITION_FAILED);
     }
     state.versions += 1;
@@ -240,10 +240,10 @@
         .body(body)
 }
 
-/// Runs the platform until the process ends.
+/// Serves the platform until the process exits.
 ///
 /// # Errors
-/// When the address cannot be bound.
+/// Returns an error when the address cannot be bound.
 pub async fn run(address: SocketAddr) -> miette::Result<()> {
     let platform: Arc<Platform> = Arc::default();
     let app = Route::new()
--- a/crates/jb-fakes/src/relay.rs
+++ b/crates/jb-fakes/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay between two processes, for cutting them off from each other.
+//! TCP relay that can partition two processes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,10 +22,10 @@
     StatusCode::OK
 }
 
-/// Relays to `to`; prints first the relayed address, then that of its control.
+/// Relays connections to `to`; prints the listen address of the relay, then that of its control endpoint.
 ///
 /// # Errors
-/// When an address cannot be bound.
+/// Returns an error when an address cannot be bound.
 pub async fn run(address: SocketAddr, to: SocketAddr) -> miette::Result<()> {
     let cut: Cut = Arc::new(watch::Sender::new(false));
     let listener = TcpListener::bind(address).await.into_diagnostic()?;
@@ -43,13 +43,13 @@
     }
 }
 
-async fn pass(mut near: TcpStream, to: SocketAddr, mut cut: watch::Receiver<bool>) {
-    let Ok(mut far) = TcpStream::connect(to).await else {
+async fn pass(mut client: TcpStream, to: SocketAddr, mut cut: watch::Receiver<bool>) {
+    let Ok(mut server) = TcpStream::connect(to).await else {
         return;
     };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
+    let _ = (client.set_nodelay(true), server.set_nodelay(true));
     tokio::select! {
-        _ = copy_bidirectional(&mut near, &mut far) => {}
+        _ = copy_bidirectional(&mut client, &mut server) => {}
         _ = cut.wait_for(|cut| *cut) => {}
     }
 }
