--- a/crates/jb-fakes/src/fleet/client.rs
+++ b/crates/jb-fakes/src/fleet/client.rs
@@ -122,7 +122,9 @@
         self.get(at, control::PATH).await
     }
 
-    /// Replaces the settings tree by `tree` in one edit, sent to the box at `operators`; returns the new revision.
+    /// Replaces the settings tree by `tree` in one edit, sent to the box at `operators`.
+    ///
+    /// Returns the new revision.
     ///
     /// # Errors
     /// Returns an error when the edit is rejected.
