--- a/crates/jb-soak/src/checks.rs
+++ b/crates/jb-soak/src/checks.rs
@@ -1,43 +1,43 @@
-//! The promises, and how often each was put to the test.
+//! The promises that a run checks, with the number of cases and violations of each.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A promise that is checked.
+/// A guarantee of the router that the soak checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Promise {
-    /// An answer belongs to the request and is whole.
+    /// A response belongs to its request and is complete.
     OwnAnswer,
-    /// A stream that ends well has every piece once, in order.
+    /// A stream that completes has every event exactly once, in order.
     Order,
-    /// A request that runs at most once did not run twice.
+    /// A request on an at-most-once route did not run twice.
     Once,
-    /// A request that was refused as not run did not run.
+    /// A request that was rejected as not run did not run.
     NotRun,
-    /// A key that was taken away opens nothing later than the bound.
+    /// A revoked API key is rejected once the revocation bound has passed.
     Revoked,
-    /// An engine that leaves gets nothing later than the bound.
+    /// A draining engine receives no requests once the drain bound has passed.
     Leaving,
-    /// Orders to an engine bear fencing tokens that never fall.
+    /// Fencing tokens of the commands to an engine never decrease.
     Fence,
-    /// Orders of two boxes to one engine keep a pause.
+    /// Commands of two boxes to one engine are separated by a minimum pause.
     Turns,
-    /// Engines have the newest weights in the end.
+    /// Engines have the newest weights at the end of the run.
     Weights,
-    /// An engine that says in an answer that it leaves gets nothing later from the box that has passed
-    /// that on.
+    /// An engine that announces its drain in a response receives nothing later from the box that
+    /// forwarded that response.
     Word,
-    /// An engine that asks for rest gets it.
+    /// Boxes honor the `Retry-After` of an engine.
     Backoff,
-    /// An engine gets no more than the rate that it has announced allows.
+    /// An engine receives no more requests than its announced rate limit allows.
     Limit,
-    /// A request that ends engines reaches few more once three have ended.
+    /// A request that crashes engines reaches few more once three have crashed.
     Poison,
-    /// All boxes serve again after the last fault.
+    /// All boxes serve requests again after the last fault.
     Recovery,
 }
 
-/// All promises.
+/// All promises, in the order of the report.
 pub const ALL: [Promise; 14] = [
     Promise::OwnAnswer,
     Promise::Order,
@@ -63,7 +63,7 @@
 }
 
 impl Checks {
-    /// Notes one case of a promise.
+    /// Records one case of a promise; `what` describes the violation.
     pub fn check(&mut self, promise: Promise, holds: bool, what: impl FnOnce() -> String) {
         *self.seen.entry(promise).or_default() += 1;
         if !holds {
@@ -71,12 +71,12 @@
         }
     }
 
-    /// Whether no promise was broken.
+    /// Returns whether no promise was broken.
     pub fn hold(&self) -> bool {
         self.broken.is_empty()
     }
 
-    /// How often a promise was put to the test.
+    /// Returns the number of cases in which a promise was checked.
     pub fn seen(&self, promise: Promise) -> u32 {
         self.seen.get(&promise).copied().unwrap_or(0)
     }
@@ -87,12 +87,12 @@
         for promise in ALL {
             let seen = self.seen(promise);
             let broken = self.broken.iter().filter(|(other, _)| *other == promise).count();
-            let told = if seen == 0 {
+            let summary = if seen == 0 {
                 "not exercised".to_owned()
             } else {
                 format!("{seen} cases, {broken} broken")
             };
-            writeln!(f, "  {promise:?}: {told}")?;
+            writeln!(f, "  {promise:?}: {summary}")?;
         }
         for (promise, what) in &self.broken {
             writeln!(f, "  BROKEN {promise:?}: {what}")?;
--- a/crates/jb-soak/src/faults.rs
+++ b/crates/jb-soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults, drawn from the seed.
+//! Fault injection; the faults are drawn from the seed.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use crate::signals;
 use crate::world::{EVENTS, World, config};
 
-/// One fault.
+/// A fault to inject.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     Kill,
@@ -31,24 +31,24 @@
     Weights,
     Revoke,
     Config,
-    /// An engine's entry goes without a word while a box is cut off.
+    /// An engine's entry is deleted without a drain while a box is cut off from the store.
     Vanish,
-    /// An engine starts again under its id.
+    /// An engine restarts under the same id.
     Restart,
-    /// Another writer writes an engine's entry.
+    /// An engine's entry is overwritten with one that cannot be parsed.
     Scribble,
-    /// An engine says in its answers that it leaves, and its entry does not.
+    /// An engine announces its drain in its responses but not in its entry.
     Say,
-    /// An engine turns requests away and asks for rest.
+    /// An engine rejects requests with `Retry-After`.
     Shed,
     /// An engine announces a rate limit.
     Limit,
-    /// The store comes back from a copy.
+    /// The store is restored from a backup.
     Restore,
 }
 
 impl Fault {
-    /// Whether it strikes all boxes.
+    /// Returns whether the fault affects all boxes.
     fn is_of_store(self) -> bool {
         matches!(
             self,
@@ -57,38 +57,39 @@
     }
 }
 
-/// Faults that a run draws from. A seed means the same faults only with the same set.
+/// The set of faults that a run draws from. A seed yields the same faults only with the same set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Set {
-    /// Those of the first seeds.
+    /// The original faults, from process crashes to configuration changes.
     First,
-    /// All.
+    /// The original faults, and deleted or unreadable engine entries and engine restarts.
     #[default]
     All,
-    /// All, and engines that say something of themselves in their answers only.
+    /// `All`, and engines that announce a drain or `Retry-After` in their responses only.
     Words,
-    /// All, with words in answers and rate limits.
+    /// `Words`, and engines that announce rate limits.
     Limits,
-    /// Faults of boxes and of the store, which is restored from copies. Leases run as long as it grants.
+    /// Faults of boxes and of the store, which is restored from backups. Leases last for the time
+    /// that the store grants.
     Restores,
-    /// Those of the first seeds, fewer of them, beside callers whose request ends engines.
+    /// The faults of `First` at a lower rate, beside callers whose request crashes engines.
     Poison,
 }
 
-/// Faults of the first seeds, of which some count twice.
+/// Size of the draw for [`Set::First`]; some faults have more than one number.
 const FIRST: u32 = 20;
-/// All of them.
+/// Size of the draw for [`Set::All`].
 const ALL: u32 = 26;
 
-/// With words in answers.
+/// Size of the draw for [`Set::Words`].
 const WORDS: u32 = 34;
-/// With rate limits.
+/// Size of the draw for [`Set::Limits`].
 const LIMITS: u32 = 44;
 
-/// Time for which states that end last.
+/// Duration of temporary faults, in milliseconds.
 const LASTS: std::ops::Range<u64> = 200..3500;
 
-/// Faults beside restores.
+/// Size of the draw for [`Set::Restores`].
 const WITH_RESTORES: u32 = 24;
 
 fn draw_with_restores(random: &mut ChaCha8Rng) -> Fault {
@@ -146,7 +147,7 @@
     }
 }
 
-/// Lets one fault happen, and ends it.
+/// Injects one fault, and clears it after its duration.
 pub async fn happen(world: std::rc::Rc<World>, mut random: ChaCha8Rng) {
     let fault = draw(&mut random, world.set);
     let at = random.random_range(0..world.boxes.len());
@@ -215,7 +216,7 @@
     }
 }
 
-/// Starts a box again once its process has ended.
+/// Restarts a box once its process has exited.
 async fn restart(world: &World, at: usize) {
     const LOOK: Duration = Duration::from_millis(50);
     let target = &world.boxes[at];
@@ -223,13 +224,13 @@
     while target.runs() && target.starts() == process {
         sleep(LOOK).await;
     }
-    // Another fault that ended the same process may have started the next one.
+    // Another fault that terminated the same process may already have started its successor.
     if target.starts() == process && !world.stopped.get() {
         target.start();
     }
 }
 
-/// Lets an engine do other things than answer well for some requests.
+/// Queues faulty responses on an engine for its next requests.
 fn spoil(world: &World, engine: usize, random: &mut ChaCha8Rng) {
     for _ in 0..random.random_range(3..20) {
         let act = match random.random_range(0..9) {
--- a/crates/jb-soak/src/run.rs
+++ b/crates/jb-soak/src/run.rs
@@ -22,27 +22,27 @@
 use crate::signals;
 use crate::world::World;
 
-/// Time after a key was taken away in which it may still open something.
-const REVOKE: Duration = Duration::from_millis(5000);
-/// Longest wait for everything to be well again after the last fault.
+/// Time after a key's revocation within which boxes may still accept it.
+const REVOCATION_BOUND: Duration = Duration::from_millis(5000);
+/// Maximum time until all boxes serve again after the last fault.
 const RECOVERY: Duration = Duration::from_secs(40);
-/// Pause between two looks.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval between polls.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Size and length of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// Seed of everything that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Boxes.
+    /// Number of boxes.
     pub boxes: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Callers.
+    /// Number of callers.
     pub callers: u64,
-    /// Time in which faults happen.
+    /// Time during which faults are injected.
     pub lasts: Duration,
-    /// Faults that are drawn from.
+    /// Set of faults to draw from.
     pub set: Set,
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// Plays one run; its checks tell how it went.
+/// Plays one run and returns the results of its checks; `loud` prints the timeline.
 pub async fn play(plan: Plan, program: &Path, folder: &Path, loud: bool) -> Checks {
     let world = World::new(&plan, program, folder, loud).await;
     for one in &world.boxes {
@@ -83,13 +83,13 @@
             Rc::clone(&world),
             ChaCha8Rng::from_rng(&mut random),
         )));
-        // Faults come in series and overlap.
+        // Faults start without waiting for earlier ones, so that they overlap.
         let rare = if plan.set == Set::Poison { 4 } else { 1 };
         let pause = rare * Duration::from_millis(random.random_range(50..1200));
         let next = Instant::now() + pause;
         while Instant::now() < next {
             world.watch_leaving();
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
     for fault in faults {
@@ -107,7 +107,7 @@
     checks.check(Promise::Recovery, recovered, || {
         "not all boxes serve after the last fault".to_owned()
     });
-    at_the_end(&world, &mut checks);
+    check_records(&world, &mut checks);
     poison::check(&world, &mut checks);
     signals::check(&world, &mut checks);
     limits::check(&world, &mut checks);
@@ -115,22 +115,22 @@
     checks
 }
 
-/// Waits until every box serves and the engines have the newest weights.
+/// Waits until every box serves and the engines have the newest weights; returns `false` on time-out.
 async fn recover(world: &World) -> bool {
     let until = Instant::now() + RECOVERY;
-    // A spoiled engine spoils only what it was told to.
+    // Each faulty response of an engine is used up by one request, so polling gets past them.
     while Instant::now() < until {
         world.watch_leaving();
         if world.serves().await && world.weights_reached() {
             return true;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     false
 }
 
-/// Checks what only the whole run tells.
-fn at_the_end(world: &World, checks: &mut Checks) {
+/// Checks the promises that need the records of the whole run.
+fn check_records(world: &World, checks: &mut Checks) {
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
     for engine in &world.engines {
         for id in engine.ran() {
@@ -148,7 +148,7 @@
         if matches!(asked.status, Some(503 | 429 | 408 | 421)) {
             let what = || {
                 format!(
-                    "{} was refused with {:?} and ran {ran} times",
+                    "{} was rejected with {:?} but ran {ran} times",
                     asked.asking.id, asked.status
                 )
             };
@@ -157,10 +157,10 @@
         let dead = world
             .revoked
             .get()
-            .is_some_and(|at| asked.asking.key == "key-cut" && asked.asking.sent > at + REVOKE);
+            .is_some_and(|at| asked.asking.key == "key-cut" && asked.asking.sent > at + REVOCATION_BOUND);
         if dead {
             checks.check(Promise::Revoked, ran == 0, || {
-                format!("{} ran with a key that was gone", asked.asking.id)
+                format!("{} ran with a revoked key", asked.asking.id)
             });
         }
     }
@@ -168,7 +168,10 @@
         let after = world.engines[*engine].runs.borrow().len();
         if Instant::now() > *until {
             checks.check(Promise::Leaving, after == *before, || {
-                format!("engine {engine} ran {} more", after - before)
+                format!(
+                    "engine {engine} ran {} more requests after its drain bound",
+                    after - before
+                )
             });
         }
     }
--- a/crates/jb-soak/src/world.rs
+++ b/crates/jb-soak/src/world.rs
@@ -1,4 +1,4 @@
-//! Everything that a run is about: stand-ins, boxes, and what was asked.
+//! The state of a run: fake store and engines, boxes, and the requests that were sent.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,71 +23,72 @@
 use crate::poison::{self, Try};
 use crate::run::Plan;
 
-/// Events of a whole stream.
+/// Number of events in a complete stream.
 pub const EVENTS: u64 = 6;
-/// Time after an engine said that it leaves in which boxes in touch still send to it; with
-/// the longest fault on top, since a box that is out of touch is not bound.
-const LEAVE: Duration = Duration::from_millis(9000);
-/// Longest wait for the answer of a box that serves.
-const SERVES: Duration = Duration::from_secs(4);
+/// Time after the start of an engine's drain within which boxes may still send to it. It includes
+/// the longest fault, since a box that is cut off from the store is not bound.
+const DRAIN_BOUND: Duration = Duration::from_millis(9000);
+/// Maximum wait for the response of a box that serves.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A fault of a box.
+/// A period in which a box has a fault.
 #[derive(Clone, Debug)]
 struct Disturbance {
     time: Range<Instant>,
-    /// Whether it strikes all boxes, as one of the store does.
+    /// Whether the fault affects all boxes, as a fault of the store does.
     each: bool,
 }
 
-/// Everything that a run is about.
+/// The state of a run.
 pub struct World {
-    /// Seed.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Faults that are drawn from.
+    /// Set of faults to draw from.
     pub set: Set,
-    /// Store.
+    /// Fake store.
     pub store: Rc<Store>,
-    /// Engines.
+    /// Fake engines.
     pub engines: Vec<Rc<Engine>>,
-    /// Boxes.
+    /// Boxes under test.
     pub boxes: Vec<Box>,
-    /// What was asked.
+    /// Requests that were sent, with their outcomes.
     pub asked: RefCell<Vec<Asked>>,
-    /// Tries of the request that ends engines.
+    /// Attempts of the request that crashes engines.
     pub tries: RefCell<Vec<Try>>,
-    /// Checks.
+    /// Results of the checks so far.
     pub checks: RefCell<Checks>,
-    /// Whether callers are to stop.
+    /// Set when callers must stop.
     pub stopped: Cell<bool>,
-    /// Version of the configuration.
+    /// Current version of the configuration.
     pub version: Cell<u64>,
     /// Newest version of the weights.
     pub weights: Cell<u64>,
-    /// When a key was taken away.
+    /// When a key was revoked; `None` before that.
     pub revoked: Cell<Option<Instant>>,
-    /// Engines that leave by their entries: when their time is over, and how much they had run then.
+    /// Engines that drain by their entries, by index: the deadline of the drain, and the number of
+    /// requests that had run by then.
     pub left: RefCell<BTreeMap<usize, (Instant, usize)>>,
-    /// Those of them that have no entry.
+    /// Engines of `left` whose entry was deleted.
     vanished: RefCell<BTreeSet<usize>>,
-    /// Engines that say in their answers that they leave.
+    /// Engines that announce their drain in their responses.
     saying: RefCell<BTreeSet<usize>>,
-    /// Callers.
+    /// Number of callers.
     pub callers: usize,
     /// Rate limits that engines announced.
     pub limits: RefCell<Vec<Limit>>,
-    /// Faults of each box.
+    /// Fault periods of each box.
     disturbed: RefCell<Vec<Vec<Disturbance>>>,
     began: Instant,
     loud: bool,
 }
 
-/// A configuration with a route of each kind.
+/// Returns a configuration with one route of each kind.
 pub fn config(version: u64, keys: &[&str]) -> Value {
     document::config(version, &ROUTES, keys)
 }
 
 impl World {
-    /// Starts the stand-ins.
+    /// Starts the fake store and engines and creates the boxes, which are not started yet.
     pub async fn new(plan: &Plan, program: &Path, folder: &Path, loud: bool) -> Rc<Self> {
         let store = Store::start().await;
         store.put_config(&config(1, &["key-ann", "key-cut"]));
@@ -132,14 +133,14 @@
         })
     }
 
-    /// Prints a line of the timeline.
+    /// Prints a line of the timeline if the run is loud.
     pub fn log(&self, what: &str) {
         if self.loud {
             println!("  {:6.2} {what}", self.began.elapsed().as_secs_f64());
         }
     }
 
-    /// Keys that open something.
+    /// Returns the keys that are valid.
     pub fn keys(&self) -> Vec<&'static str> {
         if self.revoked.get().is_some() {
             vec!["key-ann"]
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Box that the store names as the leader.
+    /// Returns the box that the store names as the leader.
     pub fn leader(&self) -> Option<&Box> {
         let name = self.store.value("junctionbend/steward/holder")?;
         self.boxes.iter().find(|one| one.name == name)
@@ -160,7 +161,7 @@
         self.store.put_weights(self.weights.get());
     }
 
-    /// Takes a key away.
+    /// Revokes the key `key-cut`, once.
     pub fn revoke(&self) {
         if self.revoked.get().is_none() {
             self.revoked.set(Some(Instant::now()));
@@ -169,37 +170,37 @@
         }
     }
 
-    /// Whether an engine leaves, by whatever word.
+    /// Returns whether an engine drains, by its entry or its responses.
     fn leaves(&self, engine: usize) -> bool {
         self.left.borrow().contains_key(&engine) || self.saying.borrow().contains(&engine)
     }
 
-    /// Whether one more engine may leave; at least half of them stay.
+    /// Returns whether an engine may start to drain; at least half of the engines must stay.
     fn may_leave(&self, engine: usize) -> bool {
         let leaving = (0..self.engines.len()).filter(|engine| self.leaves(*engine));
         leaving.count() < self.engines.len() / 2 && !self.leaves(engine)
     }
 
-    /// Lets an engine leave.
+    /// Drains an engine through its entry, if enough others stay.
     pub fn leave(&self, engine: usize) {
         if self.may_leave(engine) {
             self.store.put_engine(&self.engines[engine], true);
-            let until = Instant::now() + LEAVE;
+            let until = Instant::now() + DRAIN_BOUND;
             self.left.borrow_mut().insert(engine, (until, 0));
         }
     }
 
-    /// Takes an engine's entry away, though it serves on.
+    /// Deletes an engine's entry while the engine keeps serving, if enough others stay.
     pub fn vanish(&self, engine: usize) {
         if self.may_leave(engine) {
             self.store.remove(&format!("servers/{}", self.engines[engine].id));
             self.vanished.borrow_mut().insert(engine);
-            let until = Instant::now() + LEAVE;
+            let until = Instant::now() + DRAIN_BOUND;
             self.left.borrow_mut().insert(engine, (until, 0));
         }
     }
 
-    /// Lets an engine say in its answers that it leaves.
+    /// Makes an engine announce its drain in its responses, if enough others stay.
     pub fn say(&self, engine: usize) {
         if self.may_leave(engine) {
             self.engines[engine].leaving.set(true);
@@ -207,12 +208,12 @@
         }
     }
 
-    /// How often boxes were started.
+    /// Returns the number of process starts of all boxes.
     pub fn starts(&self) -> u32 {
         self.boxes.iter().map(Box::starts).sum()
     }
 
-    /// Notes that a box, or each one, has a fault for a while.
+    /// Records a fault period for one box, or for all when `each` is set.
     pub fn disturb(&self, at: usize, each: bool, lasts: Duration) {
         let from = Instant::now();
         let until = from + lasts;
@@ -226,7 +227,7 @@
         }
     }
 
-    /// Whether a box has had no fault for so long.
+    /// Returns whether a box has had no fault for longer than `time`.
     pub fn is_calm(&self, at: usize, time: Duration) -> bool {
         let disturbed = &self.disturbed.borrow()[at];
         disturbed
@@ -234,14 +235,14 @@
             .all(|disturbance| Instant::now() > disturbance.time.end + time)
     }
 
-    /// Whether a box had a fault at a moment.
+    /// Returns whether a box had a fault at `moment`.
     pub fn was_disturbed(&self, at: usize, moment: Instant) -> bool {
         self.disturbed.borrow()[at]
             .iter()
             .any(|disturbance| disturbance.time.contains(&moment))
     }
 
-    /// Whether a box had a fault of its own at a moment, or right before.
+    /// Returns whether a box had a fault of its own at `moment` or within `before` ahead of it.
     pub fn was_halted(&self, name: &str, moment: Instant, before: Duration) -> bool {
         let Some(at) = self.boxes.iter().position(|one| one.name == name) else {
             return false;
@@ -251,21 +252,21 @@
         own.any(|Disturbance { time, .. }| time.start <= moment && moment < time.end + before)
     }
 
-    /// Starts an engine again, unless it is to leave.
+    /// Restarts an engine unless it drains.
     pub fn restart(&self, engine: usize) {
         if !self.leaves(engine) {
             self.engines[engine].restart();
         }
     }
 
-    /// Writes an engine's entry as it should be, unless it leaves.
+    /// Writes an engine's correct entry unless the engine drains.
     pub fn write_entry(&self, engine: usize) {
         if !self.leaves(engine) {
             self.store.put_engine(&self.engines[engine], false);
         }
     }
 
-    /// Writes everything of the operator and the engines again.
+    /// Rewrites the configuration, the weights and all engine entries.
     pub fn write_again(&self) {
         self.store.put_config(&config(self.version.get(), &self.keys()));
         if self.weights.get() > 1 {
@@ -281,7 +282,7 @@
         }
     }
 
-    /// Writes an entry that cannot be read in place of an engine's, unless it leaves.
+    /// Overwrites an engine's entry with an invalid one unless the engine drains.
     pub fn scribble(&self, engine: usize, random: &mut ChaCha8Rng) {
         if self.leaves(engine) {
             return;
@@ -301,7 +302,7 @@
         self.store.put(&key, &entry);
     }
 
-    /// Notes how much each leaving engine had run when its time was over.
+    /// Updates the number of requests that each draining engine has run, until its deadline.
     pub fn watch_leaving(&self) {
         for (engine, (until, runs)) in self.left.borrow_mut().iter_mut() {
             if Instant::now() < *until {
@@ -310,7 +311,7 @@
         }
     }
 
-    /// Whether every box serves.
+    /// Returns whether every box serves a request; starts those whose process has exited.
     pub async fn serves(&self) -> bool {
         for (number, one) in self.boxes.iter().enumerate() {
             if !one.runs() {
@@ -321,7 +322,7 @@
             };
             let id = format!("last-{number}-{}", self.began.elapsed().as_millis());
             let bytes = request("POST", "/safe/a", &id, "", "hello");
-            let got = callers::ask_once(address, &bytes, SERVES).await;
+            let got = callers::ask_once(address, &bytes, PROBE_TIMEOUT).await;
             if got.is_none_or(|got| got.status() != 200) {
                 return false;
             }
@@ -329,7 +330,7 @@
         true
     }
 
-    /// Whether all engines that stay have the newest weights.
+    /// Returns whether all engines that do not drain have the newest weights.
     pub fn weights_reached(&self) -> bool {
         let all = self.engines.iter().enumerate();
         let stay = all.filter(|(at, _)| !self.leaves(*at));
