--- a/crates/jb-soak/src/boxes.rs
+++ b/crates/jb-soak/src/boxes.rs
@@ -1,4 +1,4 @@
-//! Boxes as processes, ended only by the id that they were started with.
+//! Boxes as child processes, which are signalled only by their process id.
 
 use std::cell::{Cell, RefCell};
 use std::fs::File;
@@ -11,9 +11,9 @@
 
 use crate::proxy::{Link, Proxy};
 
-/// One box.
+/// A box under test.
 pub struct Box {
-    /// Name.
+    /// Name in the settings of the box.
     pub name: String,
     /// Its link to the store.
     pub link: Proxy,
@@ -25,7 +25,7 @@
 }
 
 impl Box {
-    /// A box that is not started yet; its files go into `folder`.
+    /// Creates a box that is not started yet; its files go into `folder`.
     pub async fn new(number: usize, program: &Path, folder: &Path, store: SocketAddr) -> Self {
         Self {
             name: format!("box-{number}"),
@@ -57,18 +57,18 @@
         *self.child.borrow_mut() = Some(child.expect("a process"));
     }
 
-    /// How often it was started.
+    /// Returns the number of process starts.
     pub fn starts(&self) -> u32 {
         self.starts.get()
     }
 
-    /// File with the log of the present process.
+    /// Returns the path of the current process's log.
     pub fn log(&self) -> PathBuf {
         self.folder
             .join(format!("{}-{}.log", self.name, self.starts.get()))
     }
 
-    /// Address for callers, once the process has told it.
+    /// Returns the address for callers, once the process has logged it.
     pub fn address(&self) -> Option<SocketAddr> {
         let text = std::fs::read_to_string(self.log()).ok()?;
         let line = text.lines().find(|line| line.contains("\"box_started\""))?;
@@ -76,19 +76,19 @@
         fields["callers"].as_str()?.parse().ok()
     }
 
-    /// Sends a signal; nothing when the process has ended.
+    /// Sends a signal to the process; does nothing if it has exited.
     pub fn signal(&self, signal: Signal) {
         let child = self.child.borrow();
         let pid = child
             .as_ref()
             .and_then(|child| Pid::from_raw(i32::try_from(child.id()).ok()?));
         if let Some(pid) = pid {
-            // It may have ended in this moment.
+            // The process may have exited in the meantime.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Whether the process still runs.
+    /// Returns whether the process is running.
     pub fn runs(&self) -> bool {
         let mut child = self.child.borrow_mut();
         let ended = child
@@ -100,7 +100,7 @@
         !ended
     }
 
-    /// Puts its link to the store into a state.
+    /// Sets the state of the link to the store.
     pub fn link(&self, link: Link) {
         self.link.link.set(link);
     }
@@ -109,7 +109,7 @@
 impl Drop for Box {
     fn drop(&mut self) {
         if let Some(child) = self.child.get_mut() {
-            // A stopped process ends by SIGKILL too.
+            // SIGKILL also ends a process that is stopped by SIGSTOP.
             let _ = child.kill();
             let _ = child.wait();
         }
--- a/crates/jb-soak/src/callers.rs
+++ b/crates/jb-soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that keep their connections until a box is gone.
+//! Callers that keep their connections open until the box closes them.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,52 +16,52 @@
 use crate::signals;
 use crate::world::World;
 
-/// Longest wait for an answer: the longest route's time and a second.
+/// Maximum wait for a response: the longest route time-out and one second.
 const PATIENCE: Duration = Duration::from_secs(5);
-/// Time for a connection to come up.
+/// Maximum time to open a connection.
 const CONNECT: Duration = Duration::from_millis(500);
 /// Pause between two requests of one caller.
 const PAUSE: Duration = Duration::from_millis(8);
 /// Paths, one for each kind of route.
 pub const PATHS: [&str; 4] = ["/safe/a", "/once/a", "/stream/a", "/resume/a"];
 
-/// What was asked, and what a caller got.
+/// A request and its outcome.
 pub struct Asked {
-    /// What was asked.
+    /// The request.
     pub asking: Asking,
-    /// When its answer was there, or was waited for no longer.
+    /// When the response arrived or the wait for it ended.
     pub ended: Instant,
-    /// Engine that says in the answer that it leaves.
+    /// Engine that announces its drain in the response.
     pub leaving: Option<String>,
-    /// Engine that announces a rate limit in the answer.
+    /// Engine that announces a rate limit in the response.
     pub limited: Option<String>,
-    /// Status; `None` without an answer.
+    /// Status; `None` without a response.
     pub status: Option<u16>,
 }
 
-/// What is asked, before its answer.
+/// A request that a caller sends.
 pub struct Asking {
     /// Id of the request.
     pub id: String,
-    /// Path.
+    /// Request path.
     pub path: &'static str,
-    /// Key.
+    /// API key.
     pub key: &'static str,
-    /// Box.
+    /// Index of the box that receives it.
     pub at: usize,
-    /// Which of its processes.
+    /// Number of process starts of the box when it is sent.
     pub starts: u32,
     /// When it is sent.
     pub sent: Instant,
 }
 
 impl Asking {
-    /// Process of the box that is asked.
+    /// Returns the process of the box that receives the request.
     pub fn process(&self) -> (usize, u32) {
         (self.at, self.starts)
     }
 
-    /// Notes what came of it.
+    /// Records the outcome; `got` is `None` without a response.
     pub fn end(self, got: Option<&Response>) -> Asked {
         Asked {
             asking: self,
@@ -73,7 +73,7 @@
     }
 }
 
-/// Asks until the world stops.
+/// Sends requests until the run stops.
 pub async fn run(world: Rc<World>, number: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(world.seed ^ (number << 32));
     let mut connection: Option<(usize, Caller)> = None;
@@ -119,7 +119,7 @@
     }
 }
 
-/// Asks once, on a connection of its own; `None` without an answer in time.
+/// Sends one request on a new connection; returns `None` without a response in time.
 pub async fn ask_once(address: SocketAddr, request: &str, patience: Duration) -> Option<Response> {
     let asked = async {
         let stream = tokio::net::TcpStream::connect(address).await.ok()?;
@@ -129,7 +129,7 @@
     timeout(patience, asked).await.ok().flatten()
 }
 
-/// Checks what can be seen at once.
+/// Checks the promises that a single response can show.
 fn judge(world: &World, id: &str, path: &str, got: Option<&Response>) {
     let Some(got) = got else { return };
     let mut checks = world.checks.borrow_mut();
@@ -140,7 +140,7 @@
     if got.status() != 200 || !got.complete {
         return;
     }
-    // An engine that answers twice answers in one piece on streams, too.
+    // An engine that sends an extra response sends it unstreamed on streaming routes, too.
     if path.starts_with("/safe") || path.starts_with("/once") || got.body.starts_with("done") {
         let whole = got.body.starts_with(&format!("done {id} at "));
         checks.check(Promise::OwnAnswer, whole, || format!("{id} got {:?}", got.body));
--- a/crates/jb-soak/src/lib.rs
+++ b/crates/jb-soak/src/lib.rs
@@ -1,8 +1,8 @@
-//! A soak: real boxes as processes, callers, stand-ins of store and engines, and
-//! faults from outside, all drawn from one seed.
+//! A soak test: real boxes as processes, with callers, a fake store, fake engines and
+//! injected faults, all drawn from one seed.
 //!
-//! The promises are checked from what callers and engines see. A run prints its
-//! seed, its faults and how often each check saw its case.
+//! The promises are checked against what callers and engines observe. A run prints its
+//! seed, its faults and the number of cases of each check.
 
 #![allow(clippy::expect_used)]
 
--- a/crates/jb-soak/src/limits.rs
+++ b/crates/jb-soak/src/limits.rs
@@ -1,4 +1,4 @@
-//! Engines that announce a rate limit for all boxes together.
+//! Engines that announce a rate limit, which bounds all boxes together.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -14,18 +14,18 @@
 use crate::signals;
 use crate::world::World;
 
-/// Time after the first response with a limit from which on it is checked.
+/// Delay after the first response with a limit before the limit is checked.
 const CONTACT: Duration = Duration::from_secs(3);
-/// Time for which a limit lasts beyond that.
+/// Time for which a limit is checked after [`CONTACT`].
 const CHECKED: Duration = Duration::from_secs(5);
-/// Window of the bound.
+/// Length of the window over which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Time after a box has passed on a limit from which on its requests count.
+/// Delay after a box has forwarded a limit before its requests count.
 const PASSED_ON: Duration = Duration::from_millis(500);
-/// Pause between two looks.
+/// Interval between polls.
 const LOOK: Duration = Duration::from_millis(50);
 
-/// A limit that an engine announced.
+/// A rate limit that an engine announced.
 #[derive(Clone, Debug)]
 pub struct Limit {
     engine: usize,
@@ -35,19 +35,19 @@
 }
 
 impl Limit {
-    /// Requests that the engine may receive in any window.
+    /// Returns the number of requests that the engine may receive in any window.
     fn allowed(&self) -> usize {
         (1.5 * self.rate * WINDOW.as_secs_f64() + 5.0) as usize
     }
 }
 
-/// Engine that announces a limit in a response.
+/// Returns the engine that announces a rate limit in a response.
 pub fn limited_engine(got: &Response) -> Option<String> {
     got.answer.headers.get("server-limit")?;
     signals::engine_of(got)
 }
 
-/// Lets an engine announce a limit for a while.
+/// Makes an engine announce a rate limit for a while.
 pub async fn announce(world: &World, engine: usize, random: &mut ChaCha8Rng) {
     let rate = [0.0, 0.5, 1.5, 4.0, 12.0][random.random_range(0..5)];
     if world.engines[engine].limit.borrow().is_some() {
@@ -55,7 +55,7 @@
     }
     let from = Instant::now();
     world.engines[engine].limit.replace(Some(rate.to_string()));
-    // It ends sooner where the engine starts again.
+    // A restart of the engine clears the limit earlier.
     while from.elapsed() < CONTACT + CHECKED && world.engines[engine].limit.borrow().is_some() {
         sleep(LOOK).await;
     }
@@ -68,10 +68,10 @@
     });
 }
 
-/// Process of a box.
+/// A process of a box: index of the box and number of its start.
 type Process = (usize, u32);
 
-/// When each process passed on a limit for the first time.
+/// Returns when each process first forwarded a response with the limit.
 fn passed_on(limit: &Limit, engine: &Engine, asked: &[Asked]) -> BTreeMap<Process, Instant> {
     let mut passed_on: BTreeMap<Process, Instant> = BTreeMap::new();
     let limited = |one: &&Asked| one.ended >= limit.from && one.limited.as_ref() == Some(&engine.id);
@@ -82,7 +82,7 @@
     passed_on
 }
 
-/// Largest number of requests in a window that ends at `checked` or later.
+/// Returns the largest number of requests in a window that ends at `checked` or later.
 fn most_in_a_window(arrivals: &[Instant], checked: Instant) -> usize {
     let within = |end: &Instant| {
         let before = |at: &&Instant| **at <= *end && **at + WINDOW > *end;
@@ -92,7 +92,7 @@
     ends.map(within).max().unwrap_or(0)
 }
 
-/// Checks what the engines received against what they had announced.
+/// Checks the requests that engines received against the limits that they had announced.
 pub fn check(world: &World, checks: &mut Checks) {
     let asked = world.asked.borrow();
     let asking: BTreeMap<&str, &Asking> = asked
--- a/crates/jb-soak/src/main.rs
+++ b/crates/jb-soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `soak`: plays seeds and tells which promise broke.
+//! `soak`: plays seeds and reports which promises were broken.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -31,19 +31,19 @@
     /// callers (8)
     #[argh(option, default = "8")]
     callers: u64,
-    /// draw from the faults of the first seeds only
+    /// draw from the original set of faults only
     #[argh(switch)]
     first: bool,
-    /// fewer faults, beside callers whose request ends engines
+    /// fewer faults, beside callers whose request crashes engines
     #[argh(switch)]
     poison: bool,
-    /// all faults, and engines that say in their answers only that they leave or want rest
+    /// all faults, and engines that announce a drain or Retry-After in their responses only
     #[argh(switch)]
     signals: bool,
-    /// all faults, such words, and engines that announce rate limits
+    /// the faults of --signals, and engines that announce rate limits
     #[argh(switch)]
     limits: bool,
-    /// faults of boxes and of the store, which is restored from copies
+    /// faults of boxes and of the store, which is restored from backups
     #[argh(switch)]
     restores: bool,
 }
@@ -95,7 +95,7 @@
         let played = async {
             tokio::select! {
                 checks = play(plan, &program, folder.path(), true) => Some(checks),
-                // Dropping the run ends the boxes that it started.
+                // Dropping the run kills the boxes that it started.
                 () = interrupted() => None,
             }
         };
--- a/crates/jb-soak/src/poison.rs
+++ b/crates/jb-soak/src/poison.rs
@@ -1,4 +1,4 @@
-//! Callers whose request ends each engine that begins to run it.
+//! Callers whose request crashes each engine that starts to run it.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -14,34 +14,34 @@
 use crate::checks::{Checks, Promise};
 use crate::world::World;
 
-/// Body of the request.
+/// Body of the request that crashes engines.
 pub const DEADLY: &str = "deadly";
-/// Callers that send it.
+/// Number of callers that send the request.
 pub const CALLERS: u64 = 2;
-/// Pause between two tries of one caller.
+/// Pause between two attempts of one caller.
 const PAUSE: Duration = Duration::from_millis(400);
-/// Longest wait for an answer.
+/// Maximum wait for a response.
 const PATIENCE: Duration = Duration::from_secs(5);
-/// Time without a fault after which a box is bound to what others know.
+/// Time without a fault after which a box is expected to act on what other boxes know.
 const CONTACT: Duration = Duration::from_secs(3);
-/// Engines after whose end the request is known.
+/// Number of engine crashes after which the request is known to be dangerous.
 const KNOWN: usize = 3;
-/// Sends that are allowed after that.
+/// Number of sends that are allowed after that.
 const MORE: usize = 3;
-/// Time after which an engine that has ended is back.
+/// Time after which a crashed engine is restarted.
 const DOWN: Duration = Duration::from_millis(1500);
 const LOOK: Duration = Duration::from_millis(50);
 
-/// One try.
+/// One attempt to send the request.
 #[derive(Debug)]
 pub struct Try {
     id: String,
     sent: Instant,
-    /// Whether its box had had no fault for a while.
+    /// Whether its box had been free of faults for [`CONTACT`].
     in_touch: bool,
 }
 
-/// Sends it until the world stops.
+/// Sends the request until the run stops.
 pub async fn send(world: Rc<World>, number: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(world.seed ^ (number << 48));
     let mut count = 0;
@@ -72,7 +72,7 @@
     }
 }
 
-/// Starts engines that have ended again, and writes their entries.
+/// Restarts crashed engines and writes their entries.
 pub async fn revive(world: Rc<World>) {
     while !world.stopped.get() {
         sleep(LOOK).await;
@@ -87,14 +87,14 @@
     }
 }
 
-/// Checks that the request reached few engines once three had ended.
+/// Checks that the request reached few engines once three had crashed.
 pub fn check(world: &World, checks: &mut Checks) {
     let mut deaths: Vec<Instant> = Vec::new();
     for engine in &world.engines {
         deaths.extend(engine.crash_times.borrow().iter());
     }
     deaths.sort_unstable();
-    world.log(&format!("{} engines ended under one request", deaths.len()));
+    world.log(&format!("{} engines crashed under one request", deaths.len()));
     let Some(third) = deaths.get(KNOWN - 1).copied() else {
         return;
     };
@@ -108,7 +108,7 @@
     let more: usize = bound.iter().map(arrived).sum();
     for _ in &bound {
         checks.check(Promise::Poison, more <= MORE, || {
-            format!("{more} more sends; {} engines ended in all", deaths.len())
+            format!("{more} more sends; {} engines crashed in total", deaths.len())
         });
     }
 }
--- a/crates/jb-soak/src/proxy.rs
+++ b/crates/jb-soak/src/proxy.rs
@@ -11,25 +11,25 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// How the link behaves.
+/// State of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Link {
-    /// It passes everything on.
+    /// Forwards everything.
     Well,
-    /// It passes everything on after a pause.
+    /// Forwards everything after a delay.
     Slow(Duration),
-    /// It passes nothing on.
+    /// Forwards nothing.
     Silent,
-    /// Answers do not come back.
+    /// Forwards requests but no responses.
     OneWay,
-    /// Connections are reset.
+    /// Closes connections.
     Reset,
 }
 
-/// Pause between two looks at a link that passes nothing on.
+/// Interval between polls of a link that forwards nothing.
 const LOOK: Duration = Duration::from_millis(20);
 
-/// A proxy in front of one address.
+/// A TCP proxy for one target address.
 pub struct Proxy {
     /// Address to connect to.
     pub address: SocketAddr,
@@ -69,7 +69,7 @@
     }
 }
 
-/// Passes bytes on until either end closes or the link is reset.
+/// Forwards bytes until either end closes or the link is reset.
 async fn pass(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, link: Rc<Cell<Link>>, answers: bool) {
     let mut buffer = [0_u8; 4096];
     loop {
--- a/crates/jb-soak/src/restores.rs
+++ b/crates/jb-soak/src/restores.rs
@@ -1,4 +1,4 @@
-//! The store comes back from a copy, and what the operator and the engines wrote is written again.
+//! Restores the store from a backup and rewrites what the operator and the engines had written.
 
 use std::time::{Duration, Instant};
 
@@ -11,23 +11,24 @@
 use crate::proxy::Link;
 use crate::world::World;
 
-/// Age of the copy, in milliseconds.
+/// Age of the backup, in milliseconds.
 const COPY_AGE_MS: std::ops::Range<u64> = 50..4000;
-/// Time for which the store is away, in milliseconds.
+/// Time for which the store is unavailable, in milliseconds.
 const AWAY_MS: std::ops::Range<u64> = 0..3000;
-/// Time until everything is written again, in milliseconds.
+/// Time from the restore until everything is rewritten, in milliseconds.
 const REWRITE_MS: std::ops::Range<u64> = 0..1500;
-/// Time from a release of weights until the store is away, in which the leader begins to order engines.
+/// Time from a release of weights until the store is unavailable, in which the leader starts to send
+/// commands to engines.
 const RELEASE_LEAD: Duration = Duration::from_millis(900);
-/// Time for which the leader of before doesn't reach the restored store.
+/// Time for which the previous leader cannot reach the restored store.
 const ISOLATION: Duration = Duration::from_secs(6);
-/// Pause that orders of two boxes to one engine must keep.
+/// Minimum pause between commands of two boxes to one engine.
 const ORDER_GAP: Duration = Duration::from_millis(3000);
-/// Time after a box was halted in which an order of it may still arrive.
+/// Time after a fault of a box within which a command of it may still arrive.
 const THAW_SLACK: Duration = Duration::from_millis(500);
 
-/// Restores the store from a copy, in the middle of a release of weights and right before another one: orders
-/// of the leaders before and after it come as close together as the boxes let them.
+/// Restores the store from a backup, in the middle of a release of weights and right before another
+/// one, so that commands of the leaders before and after it come as close together as the boxes allow.
 pub async fn restore(world: &World, random: &mut ChaCha8Rng) {
     let mut pause = |range| Duration::from_millis(random.random_range(range));
     let (age, away, rewrite) = (pause(COPY_AGE_MS), pause(AWAY_MS), pause(REWRITE_MS));
@@ -40,13 +41,15 @@
     if let Some(leader) = leader {
         leader.link(Link::Silent);
     }
-    world.log(&format!("store away for {away:?}, then a copy {age:?} old"));
+    world.log(&format!(
+        "store unavailable for {away:?}, then restored from a backup {age:?} old"
+    ));
     world.store.behavior.set(Behavior::Reset);
     sleep(away).await;
     world.store.restore(&copy);
     world.store.behavior.set(Behavior::Healthy);
     sleep(rewrite).await;
-    world.log("everything is written again");
+    world.log("all entries are rewritten");
     world.write_again();
     world.release_weights();
     if let Some(leader) = leader {
@@ -55,7 +58,7 @@
     }
 }
 
-/// Checks that orders of two boxes to one engine keep the pause.
+/// Checks that commands of two boxes to one engine keep the minimum pause.
 pub fn check(world: &World, checks: &mut Checks) {
     for engine in &world.engines {
         let orders = engine.orders.borrow();
@@ -74,7 +77,7 @@
                 let pause = at.duration_since(before);
                 checks.check(Promise::Turns, pause >= ORDER_GAP, || {
                     format!(
-                        "{}: an order of {second} {pause:?} after one of {first}",
+                        "{}: a command of {second} {pause:?} after one of {first}",
                         engine.id
                     )
                 });
--- a/crates/jb-soak/src/signals.rs
+++ b/crates/jb-soak/src/signals.rs
@@ -1,5 +1,4 @@
-//! Engines that say something of themselves in their answers only: that they leave, or that they want
-//! rest.
+//! Engines that announce a drain or `Retry-After` in their responses only.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -11,23 +10,23 @@
 use crate::checks::{Checks, Promise};
 use crate::world::World;
 
-/// Time after a box has passed on an engine's word that it leaves in which a request may still reach
-/// the engine from that box.
+/// Time after a box has forwarded an engine's drain announcement within which a request from that
+/// box may still reach the engine.
 const DRAIN: Duration = Duration::from_secs(2);
 
-/// Engine whose answer says that it leaves.
+/// Returns the engine that announces its drain in a response.
 pub fn draining_engine(got: &Response) -> Option<String> {
     got.answer.headers.get("server-leaving")?;
     engine_of(got)
 }
 
-/// Engine that has made an answer.
+/// Returns the engine that produced a response.
 pub fn engine_of(got: &Response) -> Option<String> {
     let first = got.body.lines().find(|line| !line.starts_with("id: "))?;
     first.split(' ').next_back().map(str::to_owned)
 }
 
-/// Lets an engine turn all requests away for a while and ask for rest until its end.
+/// Makes an engine reject all requests for a while, with that time as `Retry-After`.
 pub async fn shed(world: &World, engine: usize, lasts: Duration) {
     let engine = &world.engines[engine];
     let (before, starts) = (engine.rejected.get(), world.starts());
@@ -37,19 +36,20 @@
     sleep(lasts).await;
     engine.retry_after.replace(None);
     let turned_away = engine.rejected.get() - before;
-    // Each box, and each that was started meanwhile, hears it once; what its callers have under way
-    // then may still come.
+    // Each box, and each one started meanwhile, learns of it from one rejection; requests that
+    // callers have in flight at that moment may still arrive.
     let most = world.boxes.len() + (world.starts() - starts) as usize + world.callers;
     let holds = turned_away as usize <= most;
     world.checks.borrow_mut().check(Promise::Backoff, holds, || {
-        format!("{} turned {turned_away} requests away in {lasts:?}", engine.id)
+        format!("{} rejected {turned_away} requests in {lasts:?}", engine.id)
     });
 }
 
-/// Process of a box.
+/// A process of a box: index of the box and number of its start.
 type Process = (usize, u32);
 
-/// Checks that no request reaches an engine from a box that has long passed on its word.
+/// Checks that a box sends an engine nothing once [`DRAIN`] has passed since it forwarded the
+/// engine's announcement.
 pub fn check(world: &World, checks: &mut Checks) {
     let asked = world.asked.borrow();
     let mut passed: BTreeMap<(Process, &str), Instant> = BTreeMap::new();
@@ -68,7 +68,7 @@
         for one in asked.iter().filter(late) {
             checks.check(Promise::Word, !ran.contains(&one.asking.id), || {
                 format!(
-                    "{} ran at {id}, which had told box {} that it leaves",
+                    "{} ran at {id} although box {} had forwarded its drain announcement",
                     one.asking.id, process.0
                 )
             });
--- a/crates/jb-soak/src/world.rs
+++ b/crates/jb-soak/src/world.rs
@@ -242,7 +242,7 @@
             .any(|disturbance| disturbance.time.contains(&moment))
     }
 
-    /// Returns whether a box had a fault of its own at `moment` or within `before` ahead of it.
+    /// Returns whether a box had a fault of its own at `moment` or up to `before` earlier.
     pub fn was_halted(&self, name: &str, moment: Instant, before: Duration) -> bool {
         let Some(at) = self.boxes.iter().position(|one| one.name == name) else {
             return false;
--- a/crates/jb-soak/tests/short.rs
+++ b/crates/jb-soak/tests/short.rs
@@ -1,4 +1,4 @@
-//! A short run for CI, with a seed that never changes, and the seeds that ever failed.
+//! Short runs for CI, with fixed seeds and the seeds that have failed before.
 
 use std::time::Duration;
 
@@ -7,13 +7,13 @@
 use jb_soak::run::{Plan, play};
 use tokio::task::LocalSet;
 
-/// Seeds that failed once, each with its cause:
-/// 100: the stand-in's leases did not run out by themselves, so nobody took the duty over;
-/// 122: the stand-in took a write under a lease that had ended, so the holder's item stayed.
+/// Seeds that failed before, each with its cause:
+/// 100: leases of the fake store did not expire by themselves, so no box took over as leader;
+/// 122: the fake store accepted a write under an expired lease, so the holder's key stayed.
 const FAILED: [u64; 2] = [100, 122];
 
-/// The same with restores of the store:
-/// 1034: a box that was started right after a restore took a key that had been revoked for valid.
+/// Seed that failed with restores of the store:
+/// 1034: a box that was started right after a restore accepted a revoked key.
 const FAILED_WITH_RESTORES: u64 = 1034;
 
 fn run(seed: u64, set: Set) -> Checks {
@@ -22,7 +22,7 @@
     let folder = tempfile::tempdir().unwrap_or_else(|why| panic!("{why}"));
     let plan = Plan {
         seed,
-        // A request that ends engines is known for three seconds before it is checked.
+        // The checks of a request that crashes engines start three seconds after it is known.
         lasts: Duration::from_secs(if set == Set::Poison { 12 } else { 6 }),
         set,
         ..Plan::default()
