--- a/crates/jb-soak/src/boxes.rs
+++ b/crates/jb-soak/src/boxes.rs
@@ -89,7 +89,7 @@
     }
 
     /// Returns whether the process is running.
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         let mut child = self.child.borrow_mut();
         let ended = child
             .as_mut()
--- a/crates/jb-soak/src/callers.rs
+++ b/crates/jb-soak/src/callers.rs
@@ -17,22 +17,22 @@
 use crate::world::World;
 
 /// Maximum wait for a response: the longest route time-out and one second.
-const PATIENCE: Duration = Duration::from_secs(5);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Maximum time to open a connection.
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause between two requests of one caller.
-const PAUSE: Duration = Duration::from_millis(8);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(8);
 /// Paths, one for each kind of route.
 pub const PATHS: [&str; 4] = ["/safe/a", "/once/a", "/stream/a", "/resume/a"];
 
 /// A request and its outcome.
-pub struct Asked {
+pub struct Exchange {
     /// The request.
-    pub asking: Asking,
+    pub request: Request,
     /// When the response arrived or the wait for it ended.
     pub ended: Instant,
     /// Engine that announces its drain in the response.
-    pub leaving: Option<String>,
+    pub draining: Option<String>,
     /// Engine that announces a rate limit in the response.
     pub limited: Option<String>,
     /// Status; `None` without a response.
@@ -40,7 +40,7 @@
 }
 
 /// A request that a caller sends.
-pub struct Asking {
+pub struct Request {
     /// Id of the request.
     pub id: String,
     /// Request path.
@@ -55,18 +55,18 @@
     pub sent: Instant,
 }
 
-impl Asking {
+impl Request {
     /// Returns the process of the box that receives the request.
     pub fn process(&self) -> (usize, u32) {
         (self.at, self.starts)
     }
 
     /// Records the outcome; `got` is `None` without a response.
-    pub fn end(self, got: Option<&Response>) -> Asked {
-        Asked {
-            asking: self,
+    pub fn end(self, got: Option<&Response>) -> Exchange {
+        Exchange {
+            request: self,
             ended: Instant::now(),
-            leaving: got.and_then(signals::draining_engine),
+            draining: got.and_then(signals::draining_engine),
             limited: got.and_then(limits::limited_engine),
             status: got.map(Response::status),
         }
@@ -79,7 +79,7 @@
     let mut connection: Option<(usize, Caller)> = None;
     let mut count = 0;
     while !world.stopped.get() {
-        sleep(PAUSE).await;
+        sleep(REQUEST_INTERVAL).await;
         let (at, mut caller) = match connection.take() {
             Some(open) => open,
             None => {
@@ -87,7 +87,8 @@
                 let Some(address) = world.boxes[at].address() else {
                     continue;
                 };
-                let Ok(Ok(stream)) = timeout(CONNECT, tokio::net::TcpStream::connect(address)).await else {
+                let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, tokio::net::TcpStream::connect(address)).await
+                else {
                     continue;
                 };
                 (at, Caller(jb_relay::http::Connection::new(stream)))
@@ -102,7 +103,7 @@
         };
         let id = format!("{number}-{count}");
         let bytes = request("POST", path, &id, MODEL_HEADERS, "hello").replace("key-ann", key);
-        let asking = Asking {
+        let sent_request = Request {
             id,
             path,
             key,
@@ -110,27 +111,27 @@
             starts: world.boxes[at].starts(),
             sent: Instant::now(),
         };
-        let got = timeout(PATIENCE, caller.raw(bytes.as_bytes())).await;
+        let got = timeout(RESPONSE_TIMEOUT, caller.raw(bytes.as_bytes())).await;
         let got = got.ok().and_then(Result::ok);
-        judge(&world, &asking.id, path, got.as_ref());
-        world.asked.borrow_mut().push(asking.end(got.as_ref()));
-        let goes_on = got.is_some_and(|got| got.complete && got.answer.keep_alive);
-        connection = goes_on.then_some((at, caller));
+        check_response(&world, &sent_request.id, path, got.as_ref());
+        world.exchanges.borrow_mut().push(sent_request.end(got.as_ref()));
+        let is_reusable = got.is_some_and(|got| got.complete && got.answer.keep_alive);
+        connection = is_reusable.then_some((at, caller));
     }
 }
 
 /// Sends one request on a new connection; returns `None` without a response in time.
-pub async fn ask_once(address: SocketAddr, request: &str, patience: Duration) -> Option<Response> {
-    let asked = async {
+pub async fn ask_once(address: SocketAddr, request: &str, max_wait: Duration) -> Option<Response> {
+    let response = async {
         let stream = tokio::net::TcpStream::connect(address).await.ok()?;
         let mut caller = Caller(jb_relay::http::Connection::new(stream));
         caller.raw(request.as_bytes()).await.ok()
     };
-    timeout(patience, asked).await.ok().flatten()
+    timeout(max_wait, response).await.ok().flatten()
 }
 
 /// Checks the promises that a single response can show.
-fn judge(world: &World, id: &str, path: &str, got: Option<&Response>) {
+fn check_response(world: &World, id: &str, path: &str, got: Option<&Response>) {
     let Some(got) = got else { return };
     let mut checks = world.checks.borrow_mut();
     let own = got.answer.headers.text(ID);
--- a/crates/jb-soak/src/faults.rs
+++ b/crates/jb-soak/src/faults.rs
@@ -49,7 +49,7 @@
 
 impl Fault {
     /// Returns whether the fault affects all boxes.
-    fn is_of_store(self) -> bool {
+    fn affects_all_boxes(self) -> bool {
         matches!(
             self,
             Self::Store(_) | Self::Compact | Self::Leases | Self::Restore
@@ -87,7 +87,7 @@
 const LIMITS: u32 = 44;
 
 /// Duration of temporary faults, in milliseconds.
-const LASTS: std::ops::Range<u64> = 200..3500;
+const FAULT_DURATION_MS: std::ops::Range<u64> = 200..3500;
 
 /// Size of the draw for [`Set::Restores`].
 const WITH_RESTORES: u32 = 24;
@@ -148,14 +148,14 @@
 }
 
 /// Injects one fault, and clears it after its duration.
-pub async fn happen(world: std::rc::Rc<World>, mut random: ChaCha8Rng) {
+pub async fn inject(world: std::rc::Rc<World>, mut random: ChaCha8Rng) {
     let fault = draw(&mut random, world.set);
     let at = random.random_range(0..world.boxes.len());
     let engine = random.random_range(0..world.engines.len());
-    let lasts = Duration::from_millis(random.random_range(LASTS));
-    world.log(&format!("{fault:?} box {at} engine {engine} for {lasts:?}"));
+    let duration = Duration::from_millis(random.random_range(FAULT_DURATION_MS));
+    world.log(&format!("{fault:?} box {at} engine {engine} for {duration:?}"));
     let target = &world.boxes[at];
-    world.disturb(at, fault.is_of_store(), lasts);
+    world.record_fault(at, fault.affects_all_boxes(), duration);
     match fault {
         Fault::Kill => {
             target.signal(Signal::KILL);
@@ -167,44 +167,44 @@
         }
         Fault::Pause => {
             target.signal(Signal::STOP);
-            sleep(lasts).await;
+            sleep(duration).await;
             target.signal(Signal::CONT);
         }
         Fault::Reload => target.signal(Signal::HUP),
         Fault::Link(link) => {
             target.link(link);
-            sleep(lasts).await;
+            sleep(duration).await;
             target.link(Link::Well);
         }
-        Fault::Store(mood) => {
-            world.store.behavior.set(mood);
-            sleep(lasts).await;
+        Fault::Store(behavior) => {
+            world.store.behavior.set(behavior);
+            sleep(duration).await;
             world.store.behavior.set(Behavior::Healthy);
         }
         Fault::Vanish => {
             target.link(Link::Silent);
-            sleep(lasts / 2).await;
-            world.vanish(engine);
-            sleep(lasts / 2).await;
+            sleep(duration / 2).await;
+            world.delete_entry(engine);
+            sleep(duration / 2).await;
             target.link(Link::Well);
         }
         Fault::Restart => {
             world.restart(engine);
-            sleep(lasts / 2).await;
+            sleep(duration / 2).await;
             world.write_entry(engine);
         }
         Fault::Scribble => {
-            world.scribble(engine, &mut random);
-            sleep(lasts).await;
+            world.corrupt_entry(engine, &mut random);
+            sleep(duration).await;
             world.write_entry(engine);
         }
         Fault::Restore => restores::restore(&world, &mut random).await,
         Fault::Compact => world.store.compact(),
         Fault::Leases => world.store.end_leases(),
-        Fault::Engine => spoil(&world, engine, &mut random),
-        Fault::Leave => world.leave(engine),
-        Fault::Say => world.say(engine),
-        Fault::Shed => signals::shed(&world, engine, lasts).await,
+        Fault::Engine => queue_faulty_responses(&world, engine, &mut random),
+        Fault::Leave => world.drain(engine),
+        Fault::Say => world.announce_drain(engine),
+        Fault::Shed => signals::shed(&world, engine, duration).await,
         Fault::Limit => limits::announce(&world, engine, &mut random).await,
         Fault::Weights => world.release_weights(),
         Fault::Revoke => world.revoke(),
@@ -218,11 +218,11 @@
 
 /// Restarts a box once its process has exited.
 async fn restart(world: &World, at: usize) {
-    const LOOK: Duration = Duration::from_millis(50);
+    const POLL_INTERVAL: Duration = Duration::from_millis(50);
     let target = &world.boxes[at];
     let process = target.starts();
-    while target.runs() && target.starts() == process {
-        sleep(LOOK).await;
+    while target.is_running() && target.starts() == process {
+        sleep(POLL_INTERVAL).await;
     }
     // Another fault that terminated the same process may already have started its successor.
     if target.starts() == process && !world.stopped.get() {
@@ -231,7 +231,7 @@
 }
 
 /// Queues faulty responses on an engine for its next requests.
-fn spoil(world: &World, engine: usize, random: &mut ChaCha8Rng) {
+fn queue_faulty_responses(world: &World, engine: usize, random: &mut ChaCha8Rng) {
     for _ in 0..random.random_range(3..20) {
         let act = match random.random_range(0..9) {
             0 => Action::Unsigned,
--- a/crates/jb-soak/src/limits.rs
+++ b/crates/jb-soak/src/limits.rs
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::time::sleep;
 
-use crate::callers::{Asked, Asking};
+use crate::callers::{Exchange, Request};
 use crate::checks::{Checks, Promise};
 use crate::signals;
 use crate::world::World;
@@ -17,13 +17,13 @@
 /// Delay after the first response with a limit before the limit is checked.
 const CONTACT: Duration = Duration::from_secs(3);
 /// Time for which a limit is checked after [`CONTACT`].
-const CHECKED: Duration = Duration::from_secs(5);
+const CHECK_DURATION: Duration = Duration::from_secs(5);
 /// Length of the window over which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 /// Delay after a box has forwarded a limit before its requests count.
-const PASSED_ON: Duration = Duration::from_millis(500);
+const FORWARD_SLACK: Duration = Duration::from_millis(500);
 /// Interval between polls.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A rate limit that an engine announced.
 #[derive(Clone, Debug)]
@@ -56,8 +56,8 @@
     let from = Instant::now();
     world.engines[engine].limit.replace(Some(rate.to_string()));
     // A restart of the engine clears the limit earlier.
-    while from.elapsed() < CONTACT + CHECKED && world.engines[engine].limit.borrow().is_some() {
-        sleep(LOOK).await;
+    while from.elapsed() < CONTACT + CHECK_DURATION && world.engines[engine].limit.borrow().is_some() {
+        sleep(POLL_INTERVAL).await;
     }
     world.engines[engine].limit.take();
     world.limits.borrow_mut().push(Limit {
@@ -72,14 +72,14 @@
 type Process = (usize, u32);
 
 /// Returns when each process first forwarded a response with the limit.
-fn passed_on(limit: &Limit, engine: &Engine, asked: &[Asked]) -> BTreeMap<Process, Instant> {
-    let mut passed_on: BTreeMap<Process, Instant> = BTreeMap::new();
-    let limited = |one: &&Asked| one.ended >= limit.from && one.limited.as_ref() == Some(&engine.id);
-    for one in asked.iter().filter(limited) {
-        let first = passed_on.entry(one.asking.process()).or_insert(one.ended);
+fn forwarded(limit: &Limit, engine: &Engine, exchanges: &[Exchange]) -> BTreeMap<Process, Instant> {
+    let mut forwarded: BTreeMap<Process, Instant> = BTreeMap::new();
+    let limited = |one: &&Exchange| one.ended >= limit.from && one.limited.as_ref() == Some(&engine.id);
+    for one in exchanges.iter().filter(limited) {
+        let first = forwarded.entry(one.request.process()).or_insert(one.ended);
         *first = one.ended.min(*first);
     }
-    passed_on
+    forwarded
 }
 
 /// Returns the largest number of requests in a window that ends at `checked` or later.
@@ -94,28 +94,30 @@
 
 /// Checks the requests that engines received against the limits that they had announced.
 pub fn check(world: &World, checks: &mut Checks) {
-    let asked = world.asked.borrow();
-    let asking: BTreeMap<&str, &Asking> = asked
+    let exchanges = world.exchanges.borrow();
+    let requests: BTreeMap<&str, &Request> = exchanges
         .iter()
-        .map(|one| (one.asking.id.as_str(), &one.asking))
+        .map(|one| (one.request.id.as_str(), &one.request))
         .collect();
     for limit in world.limits.borrow().iter() {
         let engine = &world.engines[limit.engine];
-        let passed_on = passed_on(limit, engine, &asked);
-        let Some(first) = passed_on.values().min() else {
+        let forwarded = forwarded(limit, engine, &exchanges);
+        let Some(first) = forwarded.values().min() else {
             continue;
         };
-        let is_bound = |asking: &Asking, at: Instant| {
-            let bound_from = passed_on.get(&asking.process()).map(|first| *first + PASSED_ON);
-            bound_from.is_some_and(|from| from <= at) && !world.was_disturbed(asking.at, at)
+        let is_bound = |request: &Request, at: Instant| {
+            let bound_from = forwarded
+                .get(&request.process())
+                .map(|first| *first + FORWARD_SLACK);
+            bound_from.is_some_and(|from| from <= at) && !world.had_fault(request.at, at)
         };
         let arrivals = engine.arrivals.borrow();
         let counted: Vec<Instant> = arrivals
             .iter()
             .filter(|arrival| (limit.from..limit.until).contains(&arrival.at))
             .filter(|arrival| {
-                let asking = asking.get(arrival.id.as_str());
-                asking.is_some_and(|asking| is_bound(asking, arrival.at))
+                let request = requests.get(arrival.id.as_str());
+                request.is_some_and(|request| is_bound(request, arrival.at))
             })
             .map(|arrival| arrival.at)
             .collect();
--- a/crates/jb-soak/src/main.rs
+++ b/crates/jb-soak/src/main.rs
@@ -84,7 +84,7 @@
             boxes: arguments.boxes,
             engines: arguments.engines,
             callers: arguments.callers,
-            lasts: Duration::from_secs(arguments.seconds),
+            duration: Duration::from_secs(arguments.seconds),
             set: arguments.set(),
         };
         println!("seed {seed}");
@@ -92,14 +92,14 @@
             .enable_all()
             .build()
             .into_diagnostic()?;
-        let played = async {
+        let run = async {
             tokio::select! {
                 checks = play(plan, &program, folder.path(), true) => Some(checks),
                 // Dropping the run kills the boxes that it started.
                 () = interrupted() => None,
             }
         };
-        let Some(checks) = LocalSet::new().block_on(&runtime, played) else {
+        let Some(checks) = LocalSet::new().block_on(&runtime, run) else {
             println!("soak: interrupted in seed {seed}");
             return Ok(ExitCode::FAILURE);
         };
--- a/crates/jb-soak/src/proxy.rs
+++ b/crates/jb-soak/src/proxy.rs
@@ -27,7 +27,7 @@
 }
 
 /// Interval between polls of a link that forwards nothing.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A TCP proxy for one target address.
 pub struct Proxy {
@@ -81,8 +81,8 @@
         loop {
             match link.get() {
                 Link::Reset => return,
-                Link::Silent => sleep(LOOK).await,
-                Link::OneWay if answers => sleep(LOOK).await,
+                Link::Silent => sleep(POLL_INTERVAL).await,
+                Link::OneWay if answers => sleep(POLL_INTERVAL).await,
                 Link::Slow(pause) => {
                     sleep(pause).await;
                     break;
@@ -98,6 +98,6 @@
 
 async fn reset(link: &Cell<Link>) {
     while link.get() != Link::Reset {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/jb-soak/src/restores.rs
+++ b/crates/jb-soak/src/restores.rs
@@ -12,9 +12,9 @@
 use crate::world::World;
 
 /// Age of the backup, in milliseconds.
-const COPY_AGE_MS: std::ops::Range<u64> = 50..4000;
+const BACKUP_AGE_MS: std::ops::Range<u64> = 50..4000;
 /// Time for which the store is unavailable, in milliseconds.
-const AWAY_MS: std::ops::Range<u64> = 0..3000;
+const OUTAGE_MS: std::ops::Range<u64> = 0..3000;
 /// Time from the restore until everything is rewritten, in milliseconds.
 const REWRITE_MS: std::ops::Range<u64> = 0..1500;
 /// Time from a release of weights until the store is unavailable, in which the leader starts to send
@@ -23,15 +23,15 @@
 /// Time for which the previous leader cannot reach the restored store.
 const ISOLATION: Duration = Duration::from_secs(6);
 /// Minimum pause between commands of two boxes to one engine.
-const ORDER_GAP: Duration = Duration::from_millis(3000);
+const COMMAND_GAP: Duration = Duration::from_millis(3000);
 /// Time after a fault of a box within which a command of it may still arrive.
-const THAW_SLACK: Duration = Duration::from_millis(500);
+const FAULT_SLACK: Duration = Duration::from_millis(500);
 
 /// Restores the store from a backup, in the middle of a release of weights and right before another
 /// one, so that commands of the leaders before and after it come as close together as the boxes allow.
 pub async fn restore(world: &World, random: &mut ChaCha8Rng) {
     let mut pause = |range| Duration::from_millis(random.random_range(range));
-    let (age, away, rewrite) = (pause(COPY_AGE_MS), pause(AWAY_MS), pause(REWRITE_MS));
+    let (age, outage, rewrite) = (pause(BACKUP_AGE_MS), pause(OUTAGE_MS), pause(REWRITE_MS));
     let isolates_leader = random.random_bool(0.5);
     let copy = world.store.copy();
     sleep(age).await;
@@ -42,15 +42,15 @@
         leader.link(Link::Silent);
     }
     world.log(&format!(
-        "store unavailable for {away:?}, then restored from a backup {age:?} old"
+        "store unavailable for {outage:?}, then restored from a backup {age:?} old"
     ));
     world.store.behavior.set(Behavior::Reset);
-    sleep(away).await;
+    sleep(outage).await;
     world.store.restore(&copy);
     world.store.behavior.set(Behavior::Healthy);
     sleep(rewrite).await;
     world.log("all entries are rewritten");
-    world.write_again();
+    world.rewrite_entries();
     world.release_weights();
     if let Some(leader) = leader {
         sleep(ISOLATION).await;
@@ -71,11 +71,11 @@
             let [(first, before), (second, at)] = *pair else {
                 continue;
             };
-            let halted =
-                world.was_halted(first, before, THAW_SLACK) || world.was_halted(second, at, THAW_SLACK);
+            let halted = world.had_own_fault(first, before, FAULT_SLACK)
+                || world.had_own_fault(second, at, FAULT_SLACK);
             if first != second && !halted {
                 let pause = at.duration_since(before);
-                checks.check(Promise::Turns, pause >= ORDER_GAP, || {
+                checks.check(Promise::Turns, pause >= COMMAND_GAP, || {
                     format!(
                         "{}: a command of {second} {pause:?} after one of {first}",
                         engine.id
--- a/crates/jb-soak/src/run.rs
+++ b/crates/jb-soak/src/run.rs
@@ -41,7 +41,7 @@
     /// Number of callers.
     pub callers: u64,
     /// Time during which faults are injected.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Set of faults to draw from.
     pub set: Set,
 }
@@ -53,15 +53,15 @@
             boxes: 3,
             engines: 4,
             callers: 8,
-            lasts: Duration::from_secs(10),
+            duration: Duration::from_secs(10),
             set: Set::All,
         }
     }
 }
 
 /// Plays one run and returns the results of its checks; `loud` prints the timeline.
-pub async fn play(plan: Plan, program: &Path, folder: &Path, loud: bool) -> Checks {
-    let world = World::new(&plan, program, folder, loud).await;
+pub async fn play(plan: Plan, program: &Path, folder: &Path, verbose: bool) -> Checks {
+    let world = World::new(&plan, program, folder, verbose).await;
     for one in &world.boxes {
         one.start();
     }
@@ -73,13 +73,13 @@
         for number in 0..poison::CALLERS {
             spawn_local(poison::send(Rc::clone(&world), number + 1));
         }
-        spawn_local(poison::revive(Rc::clone(&world)));
+        spawn_local(poison::restart_crashed(Rc::clone(&world)));
     }
     let mut random = ChaCha8Rng::seed_from_u64(plan.seed);
-    let end = Instant::now() + plan.lasts;
+    let end = Instant::now() + plan.duration;
     let mut faults = Vec::new();
     while Instant::now() < end {
-        faults.push(spawn_local(faults::happen(
+        faults.push(spawn_local(faults::inject(
             Rc::clone(&world),
             ChaCha8Rng::from_rng(&mut random),
         )));
@@ -88,7 +88,7 @@
         let pause = rare * Duration::from_millis(random.random_range(50..1200));
         let next = Instant::now() + pause;
         while Instant::now() < next {
-            world.watch_leaving();
+            world.track_draining();
             sleep(POLL_INTERVAL).await;
         }
     }
@@ -102,7 +102,7 @@
     for caller in callers {
         caller.await.expect("a caller");
     }
-    world.watch_leaving();
+    world.track_draining();
     let mut checks = world.checks.take();
     checks.check(Promise::Recovery, recovered, || {
         "not all boxes serve after the last fault".to_owned()
@@ -120,7 +120,7 @@
     let until = Instant::now() + RECOVERY;
     // Each faulty response of an engine is used up by one request, so polling gets past them.
     while Instant::now() < until {
-        world.watch_leaving();
+        world.track_draining();
         if world.serves().await && world.weights_reached() {
             return true;
         }
@@ -137,34 +137,33 @@
             *runs.entry(id).or_default() += 1;
         }
     }
-    for asked in world.asked.borrow().iter() {
-        let ran = runs.get(&asked.asking.id).copied().unwrap_or(0);
-        let once = asked.asking.path.starts_with("/once") || asked.asking.path.starts_with("/stream");
+    for exchange in world.exchanges.borrow().iter() {
+        let ran = runs.get(&exchange.request.id).copied().unwrap_or(0);
+        let once = exchange.request.path.starts_with("/once") || exchange.request.path.starts_with("/stream");
         if once {
             checks.check(Promise::Once, ran <= 1, || {
-                format!("{} ran {ran} times", asked.asking.id)
+                format!("{} ran {ran} times", exchange.request.id)
             });
         }
-        if matches!(asked.status, Some(503 | 429 | 408 | 421)) {
+        if matches!(exchange.status, Some(503 | 429 | 408 | 421)) {
             let what = || {
                 format!(
                     "{} was rejected with {:?} but ran {ran} times",
-                    asked.asking.id, asked.status
+                    exchange.request.id, exchange.status
                 )
             };
             checks.check(Promise::NotRun, ran == 0, what);
         }
-        let dead = world
-            .revoked
-            .get()
-            .is_some_and(|at| asked.asking.key == "key-cut" && asked.asking.sent > at + REVOCATION_BOUND);
+        let dead = world.revoked.get().is_some_and(|at| {
+            exchange.request.key == "key-cut" && exchange.request.sent > at + REVOCATION_BOUND
+        });
         if dead {
             checks.check(Promise::Revoked, ran == 0, || {
-                format!("{} ran with a revoked key", asked.asking.id)
+                format!("{} ran with a revoked key", exchange.request.id)
             });
         }
     }
-    for (engine, (until, before)) in world.left.borrow().iter() {
+    for (engine, (until, before)) in world.draining.borrow().iter() {
         let after = world.engines[*engine].runs.borrow().len();
         if Instant::now() > *until {
             checks.check(Promise::Leaving, after == *before, || {
--- a/crates/jb-soak/src/signals.rs
+++ b/crates/jb-soak/src/signals.rs
@@ -6,7 +6,7 @@
 use jb_site_fakes::caller::Response;
 use tokio::time::sleep;
 
-use crate::callers::Asked;
+use crate::callers::Exchange;
 use crate::checks::{Checks, Promise};
 use crate::world::World;
 
@@ -27,21 +27,21 @@
 }
 
 /// Makes an engine reject all requests for a while, with that time as `Retry-After`.
-pub async fn shed(world: &World, engine: usize, lasts: Duration) {
+pub async fn shed(world: &World, engine: usize, duration: Duration) {
     let engine = &world.engines[engine];
     let (before, starts) = (engine.rejected.get(), world.starts());
     engine
         .retry_after
-        .replace(Some(format!("{:.2}", lasts.as_secs_f64())));
-    sleep(lasts).await;
+        .replace(Some(format!("{:.2}", duration.as_secs_f64())));
+    sleep(duration).await;
     engine.retry_after.replace(None);
-    let turned_away = engine.rejected.get() - before;
+    let rejected = engine.rejected.get() - before;
     // Each box, and each one started meanwhile, learns of it from one rejection; requests that
     // callers have in flight at that moment may still arrive.
     let most = world.boxes.len() + (world.starts() - starts) as usize + world.callers;
-    let holds = turned_away as usize <= most;
+    let holds = rejected as usize <= most;
     world.checks.borrow_mut().check(Promise::Backoff, holds, || {
-        format!("{} rejected {turned_away} requests in {lasts:?}", engine.id)
+        format!("{} rejected {rejected} requests in {duration:?}", engine.id)
     });
 }
 
@@ -51,25 +51,27 @@
 /// Checks that a box sends an engine nothing once [`DRAIN`] has passed since it forwarded the
 /// engine's announcement.
 pub fn check(world: &World, checks: &mut Checks) {
-    let asked = world.asked.borrow();
-    let mut passed: BTreeMap<(Process, &str), Instant> = BTreeMap::new();
-    for one in asked.iter() {
-        if let Some(engine) = &one.leaving {
-            let first = passed.entry((one.asking.process(), engine)).or_insert(one.ended);
+    let exchanges = world.exchanges.borrow();
+    let mut forwarded: BTreeMap<(Process, &str), Instant> = BTreeMap::new();
+    for one in exchanges.iter() {
+        if let Some(engine) = &one.draining {
+            let first = forwarded
+                .entry((one.request.process(), engine))
+                .or_insert(one.ended);
             *first = one.ended.min(*first);
         }
     }
-    for ((process, id), first) in passed {
+    for ((process, id), first) in forwarded {
         let Some(engine) = world.engines.iter().find(|engine| engine.id == id) else {
             continue;
         };
         let ran = engine.ran();
-        let late = |one: &&Asked| one.asking.process() == process && one.asking.sent > first + DRAIN;
-        for one in asked.iter().filter(late) {
-            checks.check(Promise::Word, !ran.contains(&one.asking.id), || {
+        let late = |one: &&Exchange| one.request.process() == process && one.request.sent > first + DRAIN;
+        for one in exchanges.iter().filter(late) {
+            checks.check(Promise::Word, !ran.contains(&one.request.id), || {
                 format!(
                     "{} ran at {id} although box {} had forwarded its drain announcement",
-                    one.asking.id, process.0
+                    one.request.id, process.0
                 )
             });
         }
--- a/crates/jb-soak/src/world.rs
+++ b/crates/jb-soak/src/world.rs
@@ -16,11 +16,11 @@
 use serde_json::Value;
 
 use crate::boxes::Box;
-use crate::callers::{self, Asked};
+use crate::callers::{self, Exchange};
 use crate::checks::Checks;
 use crate::faults::Set;
 use crate::limits::Limit;
-use crate::poison::{self, Try};
+use crate::poison::{self, PoisonAttempt};
 use crate::run::Plan;
 
 /// Number of events in a complete stream.
@@ -33,7 +33,7 @@
 
 /// A period in which a box has a fault.
 #[derive(Clone, Debug)]
-struct Disturbance {
+struct FaultPeriod {
     time: Range<Instant>,
     /// Whether the fault affects all boxes, as a fault of the store does.
     each: bool,
@@ -52,9 +52,9 @@
     /// Boxes under test.
     pub boxes: Vec<Box>,
     /// Requests that were sent, with their outcomes.
-    pub asked: RefCell<Vec<Asked>>,
+    pub exchanges: RefCell<Vec<Exchange>>,
     /// Attempts of the request that crashes engines.
-    pub tries: RefCell<Vec<Try>>,
+    pub poison_attempts: RefCell<Vec<PoisonAttempt>>,
     /// Results of the checks so far.
     pub checks: RefCell<Checks>,
     /// Set when callers must stop.
@@ -67,19 +67,19 @@
     pub revoked: Cell<Option<Instant>>,
     /// Engines that drain by their entries, by index: the deadline of the drain, and the number of
     /// requests that had run by then.
-    pub left: RefCell<BTreeMap<usize, (Instant, usize)>>,
-    /// Engines of `left` whose entry was deleted.
-    vanished: RefCell<BTreeSet<usize>>,
+    pub draining: RefCell<BTreeMap<usize, (Instant, usize)>>,
+    /// Engines of `draining` whose entry was deleted.
+    deleted: RefCell<BTreeSet<usize>>,
     /// Engines that announce their drain in their responses.
-    saying: RefCell<BTreeSet<usize>>,
+    announcing: RefCell<BTreeSet<usize>>,
     /// Number of callers.
     pub callers: usize,
     /// Rate limits that engines announced.
     pub limits: RefCell<Vec<Limit>>,
     /// Fault periods of each box.
-    disturbed: RefCell<Vec<Vec<Disturbance>>>,
+    fault_periods: RefCell<Vec<Vec<FaultPeriod>>>,
     began: Instant,
-    loud: bool,
+    verbose: bool,
 }
 
 /// Returns a configuration with one route of each kind.
@@ -89,7 +89,7 @@
 
 impl World {
     /// Starts the fake store and engines and creates the boxes, which are not started yet.
-    pub async fn new(plan: &Plan, program: &Path, folder: &Path, loud: bool) -> Rc<Self> {
+    pub async fn new(plan: &Plan, program: &Path, folder: &Path, verbose: bool) -> Rc<Self> {
         let store = Store::start().await;
         store.put_config(&config(1, &["key-ann", "key-cut"]));
         let mut engines = Vec::new();
@@ -100,7 +100,7 @@
                 engine.restart();
             }
             if plan.set == Set::Poison {
-                engine.crash_body.replace(Some(poison::DEADLY.to_owned()));
+                engine.crash_body.replace(Some(poison::CRASH_BODY.to_owned()));
             }
             store.put_engine(&engine, false);
             engines.push(engine);
@@ -115,27 +115,27 @@
             store,
             engines,
             boxes,
-            asked: RefCell::default(),
-            tries: RefCell::default(),
+            exchanges: RefCell::default(),
+            poison_attempts: RefCell::default(),
             limits: RefCell::default(),
-            disturbed: RefCell::new(vec![Vec::new(); plan.boxes]),
+            fault_periods: RefCell::new(vec![Vec::new(); plan.boxes]),
             checks: RefCell::default(),
             stopped: Cell::default(),
             version: Cell::new(1),
             weights: Cell::new(1),
             revoked: Cell::default(),
-            left: RefCell::default(),
-            vanished: RefCell::default(),
-            saying: RefCell::default(),
+            draining: RefCell::default(),
+            deleted: RefCell::default(),
+            announcing: RefCell::default(),
             callers: plan.callers as usize,
             began: Instant::now(),
-            loud,
+            verbose,
         })
     }
 
     /// Prints a line of the timeline if the run is loud.
     pub fn log(&self, what: &str) {
-        if self.loud {
+        if self.verbose {
             println!("  {:6.2} {what}", self.began.elapsed().as_secs_f64());
         }
     }
@@ -171,40 +171,40 @@
     }
 
     /// Returns whether an engine drains, by its entry or its responses.
-    fn leaves(&self, engine: usize) -> bool {
-        self.left.borrow().contains_key(&engine) || self.saying.borrow().contains(&engine)
+    fn is_draining(&self, engine: usize) -> bool {
+        self.draining.borrow().contains_key(&engine) || self.announcing.borrow().contains(&engine)
     }
 
     /// Returns whether an engine may start to drain; at least half of the engines must stay.
-    fn may_leave(&self, engine: usize) -> bool {
-        let leaving = (0..self.engines.len()).filter(|engine| self.leaves(*engine));
-        leaving.count() < self.engines.len() / 2 && !self.leaves(engine)
+    fn may_drain(&self, engine: usize) -> bool {
+        let draining = (0..self.engines.len()).filter(|engine| self.is_draining(*engine));
+        draining.count() < self.engines.len() / 2 && !self.is_draining(engine)
     }
 
     /// Drains an engine through its entry, if enough others stay.
-    pub fn leave(&self, engine: usize) {
-        if self.may_leave(engine) {
+    pub fn drain(&self, engine: usize) {
+        if self.may_drain(engine) {
             self.store.put_engine(&self.engines[engine], true);
             let until = Instant::now() + DRAIN_BOUND;
-            self.left.borrow_mut().insert(engine, (until, 0));
+            self.draining.borrow_mut().insert(engine, (until, 0));
         }
     }
 
     /// Deletes an engine's entry while the engine keeps serving, if enough others stay.
-    pub fn vanish(&self, engine: usize) {
-        if self.may_leave(engine) {
+    pub fn delete_entry(&self, engine: usize) {
+        if self.may_drain(engine) {
             self.store.remove(&format!("servers/{}", self.engines[engine].id));
-            self.vanished.borrow_mut().insert(engine);
+            self.deleted.borrow_mut().insert(engine);
             let until = Instant::now() + DRAIN_BOUND;
-            self.left.borrow_mut().insert(engine, (until, 0));
+            self.draining.borrow_mut().insert(engine, (until, 0));
         }
     }
 
     /// Makes an engine announce its drain in its responses, if enough others stay.
-    pub fn say(&self, engine: usize) {
-        if self.may_leave(engine) {
+    pub fn announce_drain(&self, engine: usize) {
+        if self.may_drain(engine) {
             self.engines[engine].leaving.set(true);
-            self.saying.borrow_mut().insert(engine);
+            self.announcing.borrow_mut().insert(engine);
         }
     }
 
@@ -214,12 +214,12 @@
     }
 
     /// Records a fault period for one box, or for all when `each` is set.
-    pub fn disturb(&self, at: usize, each: bool, lasts: Duration) {
+    pub fn record_fault(&self, at: usize, each: bool, duration: Duration) {
         let from = Instant::now();
-        let until = from + lasts;
-        for (number, disturbed) in self.disturbed.borrow_mut().iter_mut().enumerate() {
+        let until = from + duration;
+        for (number, fault_periods) in self.fault_periods.borrow_mut().iter_mut().enumerate() {
             if each || number == at {
-                disturbed.push(Disturbance {
+                fault_periods.push(FaultPeriod {
                     time: from..until,
                     each,
                 });
@@ -228,63 +228,63 @@
     }
 
     /// Returns whether a box has had no fault for longer than `time`.
-    pub fn is_calm(&self, at: usize, time: Duration) -> bool {
-        let disturbed = &self.disturbed.borrow()[at];
-        disturbed
+    pub fn is_fault_free(&self, at: usize, time: Duration) -> bool {
+        let fault_periods = &self.fault_periods.borrow()[at];
+        fault_periods
             .iter()
-            .all(|disturbance| Instant::now() > disturbance.time.end + time)
+            .all(|period| Instant::now() > period.time.end + time)
     }
 
     /// Returns whether a box had a fault at `moment`.
-    pub fn was_disturbed(&self, at: usize, moment: Instant) -> bool {
-        self.disturbed.borrow()[at]
+    pub fn had_fault(&self, at: usize, moment: Instant) -> bool {
+        self.fault_periods.borrow()[at]
             .iter()
-            .any(|disturbance| disturbance.time.contains(&moment))
+            .any(|period| period.time.contains(&moment))
     }
 
     /// Returns whether a box had a fault of its own at `moment` or up to `before` earlier.
-    pub fn was_halted(&self, name: &str, moment: Instant, before: Duration) -> bool {
+    pub fn had_own_fault(&self, name: &str, moment: Instant, before: Duration) -> bool {
         let Some(at) = self.boxes.iter().position(|one| one.name == name) else {
             return false;
         };
-        let disturbed = &self.disturbed.borrow()[at];
-        let mut own = disturbed.iter().filter(|disturbance| !disturbance.each);
-        own.any(|Disturbance { time, .. }| time.start <= moment && moment < time.end + before)
+        let fault_periods = &self.fault_periods.borrow()[at];
+        let mut own = fault_periods.iter().filter(|period| !period.each);
+        own.any(|FaultPeriod { time, .. }| time.start <= moment && moment < time.end + before)
     }
 
     /// Restarts an engine unless it drains.
     pub fn restart(&self, engine: usize) {
-        if !self.leaves(engine) {
+        if !self.is_draining(engine) {
             self.engines[engine].restart();
         }
     }
 
     /// Writes an engine's correct entry unless the engine drains.
     pub fn write_entry(&self, engine: usize) {
-        if !self.leaves(engine) {
+        if !self.is_draining(engine) {
             self.store.put_engine(&self.engines[engine], false);
         }
     }
 
     /// Rewrites the configuration, the weights and all engine entries.
-    pub fn write_again(&self) {
+    pub fn rewrite_entries(&self) {
         self.store.put_config(&config(self.version.get(), &self.keys()));
         if self.weights.get() > 1 {
             self.store.put_weights(self.weights.get());
         }
         for (at, engine) in self.engines.iter().enumerate() {
-            if self.vanished.borrow().contains(&at) {
+            if self.deleted.borrow().contains(&at) {
                 self.store.remove(&format!("servers/{}", engine.id));
             } else {
                 self.store
-                    .put_engine(engine, self.left.borrow().contains_key(&at));
+                    .put_engine(engine, self.draining.borrow().contains_key(&at));
             }
         }
     }
 
     /// Overwrites an engine's entry with an invalid one unless the engine drains.
-    pub fn scribble(&self, engine: usize, random: &mut ChaCha8Rng) {
-        if self.leaves(engine) {
+    pub fn corrupt_entry(&self, engine: usize, random: &mut ChaCha8Rng) {
+        if self.is_draining(engine) {
             return;
         }
         let key = format!("servers/{}", self.engines[engine].id);
@@ -303,8 +303,8 @@
     }
 
     /// Updates the number of requests that each draining engine has run, until its deadline.
-    pub fn watch_leaving(&self) {
-        for (engine, (until, runs)) in self.left.borrow_mut().iter_mut() {
+    pub fn track_draining(&self) {
+        for (engine, (until, runs)) in self.draining.borrow_mut().iter_mut() {
             if Instant::now() < *until {
                 *runs = self.engines[*engine].runs.borrow().len();
             }
@@ -314,7 +314,7 @@
     /// Returns whether every box serves a request; starts those whose process has exited.
     pub async fn serves(&self) -> bool {
         for (number, one) in self.boxes.iter().enumerate() {
-            if !one.runs() {
+            if !one.is_running() {
                 one.start();
             }
             let Some(address) = one.address() else {
@@ -333,7 +333,7 @@
     /// Returns whether all engines that do not drain have the newest weights.
     pub fn weights_reached(&self) -> bool {
         let all = self.engines.iter().enumerate();
-        let stay = all.filter(|(at, _)| !self.leaves(*at));
+        let stay = all.filter(|(at, _)| !self.is_draining(*at));
         stay.map(|(_, engine)| engine.version.get())
             .all(|version| version == self.weights.get())
     }
--- a/crates/jb-soak/tests/short.rs
+++ b/crates/jb-soak/tests/short.rs
@@ -23,7 +23,7 @@
     let plan = Plan {
         seed,
         // The checks of a request that crashes engines start three seconds after it is known.
-        lasts: Duration::from_secs(if set == Set::Poison { 12 } else { 6 }),
+        duration: Duration::from_secs(if set == Set::Poison { 12 } else { 6 }),
         set,
         ..Plan::default()
     };
