--- a/crates/jb-soak/src/world.rs
+++ b/crates/jb-soak/src/world.rs
@@ -1,4 +1,4 @@
-//! Everything that a run is about: stand-ins, boxes, and what was asked.
+//! The state of a run: fake store and engines, boxes, and the requests that were sent.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,79 +16,80 @@
 use serde_json::Value;
 
 use crate::boxes::Box;
-use crate::callers::{self, Asked};
+use crate::callers::{self, Exchange};
 use crate::checks::Checks;
 use crate::faults::Set;
 use crate::limits::Limit;
-use crate::poison::{self, Try};
+use crate::poison::{self, PoisonAttempt};
 use crate::run::Plan;
 
-/// Events of a whole stream.
+/// Number of events in a complete stream.
 pub const EVENTS: u64 = 6;
-/// Time after an engine said that it leaves in which boxes in touch still send to it; with
-/// the longest fault on top, since a box that is out of touch is not bound.
-const LEAVE: Duration = Duration::from_millis(9000);
-/// Longest wait for the answer of a box that serves.
-const SERVES: Duration = Duration::from_secs(4);
+/// Time after the start of an engine's drain within which boxes may still send to it. It includes
+/// the longest fault, since a box that is cut off from the store is not bound.
+const DRAIN_BOUND: Duration = Duration::from_millis(9000);
+/// Maximum wait for the response of a box that serves.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A fault of a box.
+/// A period in which a box has a fault.
 #[derive(Clone, Debug)]
-struct Disturbance {
+struct FaultPeriod {
     time: Range<Instant>,
-    /// Whether it strikes all boxes, as one of the store does.
+    /// Whether the fault affects all boxes, as a fault of the store does.
     each: bool,
 }
 
-/// Everything that a run is about.
+/// The state of a run.
 pub struct World {
-    /// Seed.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Faults that are drawn from.
+    /// Set of faults to draw from.
     pub set: Set,
-    /// Store.
+    /// Fake store.
     pub store: Rc<Store>,
-    /// Engines.
+    /// Fake engines.
     pub engines: Vec<Rc<Engine>>,
-    /// Boxes.
+    /// Boxes under test.
     pub boxes: Vec<Box>,
-    /// What was asked.
-    pub asked: RefCell<Vec<Asked>>,
-    /// Tries of the request that ends engines.
-    pub tries: RefCell<Vec<Try>>,
-    /// Checks.
+    /// Requests that were sent, with their outcomes.
+    pub exchanges: RefCell<Vec<Exchange>>,
+    /// Attempts of the request that crashes engines.
+    pub poison_attempts: RefCell<Vec<PoisonAttempt>>,
+    /// Results of the checks so far.
     pub checks: RefCell<Checks>,
-    /// Whether callers are to stop.
+    /// Set when callers must stop.
     pub stopped: Cell<bool>,
-    /// Version of the configuration.
+    /// Current version of the configuration.
     pub version: Cell<u64>,
     /// Newest version of the weights.
     pub weights: Cell<u64>,
-    /// When a key was taken away.
+    /// When a key was revoked; `None` before that.
     pub revoked: Cell<Option<Instant>>,
-    /// Engines that leave by their entries: when their time is over, and how much they had run then.
-    pub left: RefCell<BTreeMap<usize, (Instant, usize)>>,
-    /// Those of them that have no entry.
-    vanished: RefCell<BTreeSet<usize>>,
-    /// Engines that say in their answers that they leave.
-    saying: RefCell<BTreeSet<usize>>,
-    /// Callers.
+    /// Engines that drain by their entries, by index: the deadline of the drain, and the number of
+    /// requests that had run by then.
+    pub draining: RefCell<BTreeMap<usize, (Instant, usize)>>,
+    /// Engines of `draining` whose entry was deleted.
+    deleted: RefCell<BTreeSet<usize>>,
+    /// Engines that announce their drain in their responses.
+    announcing: RefCell<BTreeSet<usize>>,
+    /// Number of callers.
     pub callers: usize,
     /// Rate limits that engines announced.
     pub limits: RefCell<Vec<Limit>>,
-    /// Faults of each box.
-    disturbed: RefCell<Vec<Vec<Disturbance>>>,
+    /// Fault periods of each box.
+    fault_periods: RefCell<Vec<Vec<FaultPeriod>>>,
     began: Instant,
-    loud: bool,
+    verbose: bool,
 }
 
-/// A configuration with a route of each kind.
+/// Returns a configuration with one route of each kind.
 pub fn config(version: u64, keys: &[&str]) -> Value {
     document::config(version, &ROUTES, keys)
 }
 
 impl World {
-    /// Starts the stand-ins.
-    pub async fn new(plan: &Plan, program: &Path, folder: &Path, loud: bool) -> Rc<Self> {
+    /// Starts the fake store and engines and creates the boxes, which are not started yet.
+    pub async fn new(plan: &Plan, program: &Path, folder: &Path, verbose: bool) -> Rc<Self> {
         let store = Store::start().await;
         store.put_config(&config(1, &["key-ann", "key-cut"]));
         let mut engines = Vec::new();
@@ -99,7 +100,7 @@
                 engine.restart();
             }
             if plan.set == Set::Poison {
-                engine.crash_body.replace(Some(poison::DEADLY.to_owned()));
+                engine.crash_body.replace(Some(poison::CRASH_BODY.to_owned()));
             }
             store.put_engine(&engine, false);
             engines.push(engine);
@@ -114,32 +115,32 @@
             store,
             engines,
             boxes,
-            asked: RefCell::default(),
-            tries: RefCell::default(),
+            exchanges: RefCell::default(),
+            poison_attempts: RefCell::default(),
             limits: RefCell::default(),
-            disturbed: RefCell::new(vec![Vec::new(); plan.boxes]),
+            fault_periods: RefCell::new(vec![Vec::new(); plan.boxes]),
             checks: RefCell::default(),
             stopped: Cell::default(),
             version: Cell::new(1),
             weights: Cell::new(1),
             revoked: Cell::default(),
-            left: RefCell::default(),
-            vanished: RefCell::default(),
-            saying: RefCell::default(),
+            draining: RefCell::default(),
+            deleted: RefCell::default(),
+            announcing: RefCell::default(),
             callers: plan.callers as usize,
             began: Instant::now(),
-            loud,
+            verbose,
         })
     }
 
-    /// Prints a line of the timeline.
+    /// Prints a line of the timeline if the run is loud.
     pub fn log(&self, what: &str) {
-        if self.loud {
+        if self.verbose {
             println!("  {:6.2} {what}", self.began.elapsed().as_secs_f64());
         }
     }
 
-    /// Keys that open something.
+    /// Returns the keys that are valid.
     pub fn keys(&self) -> Vec<&'static str> {
         if self.revoked.get().is_some() {
             vec!["key-ann"]
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Box that the store names as the leader.
+    /// Returns the box that the store names as the leader.
     pub fn leader(&self) -> Option<&Box> {
         let name = self.store.value("junctionbend/steward/holder")?;
         self.boxes.iter().find(|one| one.name == name)
@@ -160,7 +161,7 @@
         self.store.put_weights(self.weights.get());
     }
 
-    /// Takes a key away.
+    /// Revokes the key `key-cut`, once.
     pub fn revoke(&self) {
         if self.revoked.get().is_none() {
             self.revoked.set(Some(Instant::now()));
@@ -169,56 +170,56 @@
         }
     }
 
-    /// Whether an engine leaves, by whatever word.
-    fn leaves(&self, engine: usize) -> bool {
-        self.left.borrow().contains_key(&engine) || self.saying.borrow().contains(&engine)
+    /// Returns whether an engine drains, by its entry or its responses.
+    fn is_draining(&self, engine: usize) -> bool {
+        self.draining.borrow().contains_key(&engine) || self.announcing.borrow().contains(&engine)
     }
 
-    /// Whether one more engine may leave; at least half of them stay.
-    fn may_leave(&self, engine: usize) -> bool {
-        let leaving = (0..self.engines.len()).filter(|engine| self.leaves(*engine));
-        leaving.count() < self.engines.len() / 2 && !self.leaves(engine)
+    /// Returns whether an engine may start to drain; at least half of the engines must stay.
+    fn may_drain(&self, engine: usize) -> bool {
+        let draining = (0..self.engines.len()).filter(|engine| self.is_draining(*engine));
+        draining.count() < self.engines.len() / 2 && !self.is_draining(engine)
     }
 
-    /// Lets an engine leave.
-    pub fn leave(&self, engine: usize) {
-        if self.may_leave(engine) {
+    /// Drains an engine through its entry, if enough others stay.
+    pub fn drain(&self, engine: usize) {
+        if self.may_drain(engine) {
             self.store.put_engine(&self.engines[engine], true);
-            let until = Instant::now() + LEAVE;
-            self.left.borrow_mut().insert(engine, (until, 0));
+            let until = Instant::now() + DRAIN_BOUND;
+            self.draining.borrow_mut().insert(engine, (until, 0));
         }
     }
 
-    /// Takes an engine's entry away, though it serves on.
-    pub fn vanish(&self, engine: usize) {
-        if self.may_leave(engine) {
+    /// Deletes an engine's entry while the engine keeps serving, if enough others stay.
+    pub fn delete_entry(&self, engine: usize) {
+        if self.may_drain(engine) {
             self.store.remove(&format!("servers/{}", self.engines[engine].id));
-            self.vanished.borrow_mut().insert(engine);
-            let until = Instant::now() + LEAVE;
-            self.left.borrow_mut().insert(engine, (until, 0));
+            self.deleted.borrow_mut().insert(engine);
+            let until = Instant::now() + DRAIN_BOUND;
+            self.draining.borrow_mut().insert(engine, (until, 0));
         }
     }
 
-    /// Lets an engine say in its answers that it leaves.
-    pub fn say(&self, engine: usize) {
-        if self.may_leave(engine) {
+    /// Makes an engine announce its drain in its responses, if enough others stay.
+    pub fn announce_drain(&self, engine: usize) {
+        if self.may_drain(engine) {
             self.engines[engine].leaving.set(true);
-            self.saying.borrow_mut().insert(engine);
+            self.announcing.borrow_mut().insert(engine);
         }
     }
 
-    /// How often boxes were started.
+    /// Returns the number of process starts of all boxes.
     pub fn starts(&self) -> u32 {
         self.boxes.iter().map(Box::starts).sum()
     }
 
-    /// Notes that a box, or each one, has a fault for a while.
-    pub fn disturb(&self, at: usize, each: bool, lasts: Duration) {
+    /// Records a fault period for one box, or for all when `each` is set.
+    pub fn record_fault(&self, at: usize, each: bool, duration: Duration) {
         let from = Instant::now();
-        let until = from + lasts;
-        for (number, disturbed) in self.disturbed.borrow_mut().iter_mut().enumerate() {
+        let until = from + duration;
+        for (number, fault_periods) in self.fault_periods.borrow_mut().iter_mut().enumerate() {
             if each || number == at {
-                disturbed.push(Disturbance {
+                fault_periods.push(FaultPeriod {
                     time: from..until,
                     each,
                 });
@@ -226,64 +227,64 @@
         }
     }
 
-    /// Whether a box has had no fault for so long.
-    pub fn is_calm(&self, at: usize, time: Duration) -> bool {
-        let disturbed = &self.disturbed.borrow()[at];
-        disturbed
+    /// Returns whether a box has had no fault for longer than `time`.
+    pub fn is_fault_free(&self, at: usize, time: Duration) -> bool {
+        let fault_periods = &self.fault_periods.borrow()[at];
+        fault_periods
             .iter()
-            .all(|disturbance| Instant::now() > disturbance.time.end + time)
+            .all(|period| Instant::now() > period.time.end + time)
     }
 
-    /// Whether a box had a fault at a moment.
-    pub fn was_disturbed(&self, at: usize, moment: Instant) -> bool {
-        self.disturbed.borrow()[at]
+    /// Returns whether a box had a fault at `moment`.
+    pub fn had_fault(&self, at: usize, moment: Instant) -> bool {
+        self.fault_periods.borrow()[at]
             .iter()
-            .any(|disturbance| disturbance.time.contains(&moment))
+            .any(|period| period.time.contains(&moment))
     }
 
-    /// Whether a box had a fault of its own at a moment, or right before.
-    pub fn was_halted(&self, name: &str, moment: Instant, before: Duration) -> bool {
+    /// Returns whether a box had a fault of its own at `moment` or up to `before` earlier.
+    pub fn had_own_fault(&self, name: &str, moment: Instant, before: Duration) -> bool {
         let Some(at) = self.boxes.iter().position(|one| one.name == name) else {
             return false;
         };
-        let disturbed = &self.disturbed.borrow()[at];
-        let mut own = disturbed.iter().filter(|disturbance| !disturbance.each);
-        own.any(|Disturbance { time, .. }| time.start <= moment && moment < time.end + before)
+        let fault_periods = &self.fault_periods.borrow()[at];
+        let mut own = fault_periods.iter().filter(|period| !period.each);
+        own.any(|FaultPeriod { time, .. }| time.start <= moment && moment < time.end + before)
     }
 
-    /// Starts an engine again, unless it is to leave.
+    /// Restarts an engine unless it drains.
     pub fn restart(&self, engine: usize) {
-        if !self.leaves(engine) {
+        if !self.is_draining(engine) {
             self.engines[engine].restart();
         }
     }
 
-    /// Writes an engine's entry as it should be, unless it leaves.
+    /// Writes an engine's correct entry unless the engine drains.
     pub fn write_entry(&self, engine: usize) {
-        if !self.leaves(engine) {
+        if !self.is_draining(engine) {
             self.store.put_engine(&self.engines[engine], false);
         }
     }
 
-    /// Writes everything of the operator and the engines again.
-    pub fn write_again(&self) {
+    /// Rewrites the configuration, the weights and all engine entries.
+    pub fn rewrite_entries(&self) {
         self.store.put_config(&config(self.version.get(), &self.keys()));
         if self.weights.get() > 1 {
             self.store.put_weights(self.weights.get());
         }
         for (at, engine) in self.engines.iter().enumerate() {
-            if self.vanished.borrow().contains(&at) {
+            if self.deleted.borrow().contains(&at) {
                 self.store.remove(&format!("servers/{}", engine.id));
             } else {
                 self.store
-                    .put_engine(engine, self.left.borrow().contains_key(&at));
+                    .put_engine(engine, self.draining.borrow().contains_key(&at));
             }
         }
     }
 
-    /// Writes an entry that cannot be read in place of an engine's, unless it leaves.
-    pub fn scribble(&self, engine: usize, random: &mut ChaCha8Rng) {
-        if self.leaves(engine) {
+    /// Overwrites an engine's entry with an invalid one unless the engine drains.
+    pub fn corrupt_entry(&self, engine: usize, random: &mut ChaCha8Rng) {
+        if self.is_draining(engine) {
             return;
         }
         let key = format!("servers/{}", self.engines[engine].id);
@@ -301,19 +302,19 @@
         self.store.put(&key, &entry);
     }
 
-    /// Notes how much each leaving engine had run when its time was over.
-    pub fn watch_leaving(&self) {
-        for (engine, (until, runs)) in self.left.borrow_mut().iter_mut() {
+    /// Updates the number of requests that each draining engine has run, until its deadline.
+    pub fn track_draining(&self) {
+        for (engine, (until, runs)) in self.draining.borrow_mut().iter_mut() {
             if Instant::now() < *until {
                 *runs = self.engines[*engine].runs.borrow().len();
             }
         }
     }
 
-    /// Whether every box serves.
+    /// Returns whether every box serves a request; starts those whose process has exited.
     pub async fn serves(&self) -> bool {
         for (number, one) in self.boxes.iter().enumerate() {
-            if !one.runs() {
+            if !one.is_running() {
                 one.start();
             }
             let Some(address) = one.address() else {
@@ -321,7 +322,7 @@
             };
             let id = format!("last-{number}-{}", self.began.elapsed().as_millis());
             let bytes = request("POST", "/safe/a", &id, "", "hello");
-            let got = callers::ask_once(address, &bytes, SERVES).await;
+            let got = callers::ask_once(address, &bytes, PROBE_TIMEOUT).await;
             if got.is_none_or(|got| got.status() != 200) {
                 return false;
             }
@@ -329,10 +330,10 @@
         true
     }
 
-    /// Whether all engines that stay have the newest weights.
+    /// Returns whether all engines that do not drain have the newest weights.
     pub fn weights_reached(&self) -> bool {
         let all = self.engines.iter().enumerate();
-        let stay = all.filter(|(at, _)| !self.leaves(*at));
+        let stay = all.filter(|(at, _)| !self.is_draining(*at));
         stay.map(|(_, engine)| engine.version.get())
             .all(|version| version == self.weights.get())
     }
